--- a/placer/baseline.go
+++ b/placer/baseline.go
@@ -1,8 +1,8 @@
 package placer
 
-// placeFirst starts a task on the first worker with room. Under a static split
-// services and batch tasks have workers of their own.
-func (r *Round) placeFirst(t Task) bool {
+// placeFirstFit starts a task on the first worker with enough free resources.
+// Under a static split, services and batch tasks use separate workers.
+func (r *Round) placeFirstFit(t Task) bool {
 	for _, w := range r.workers {
 		if !w.Usable || !r.allows(t, w) || !t.Resources.Fits(w.Free) {
 			continue
@@ -11,22 +11,23 @@
 		return true
 	}
 	if !t.Service || r.placer.config.Rule == RuleStaticSplit {
-		r.wait(t, "no worker has "+t.Resources.String()+" free")
+		r.recordWait(t, "no worker has "+t.Resources.String()+" free")
 		return false
 	}
-	if w := r.soonest(t); w != nil {
+	if w := r.workerAfterEvictions(t); w != nil {
 		r.reserve(t, w)
-		r.wait(t, "waits for evictions on "+w.Name)
+		r.recordWait(t, "waits for evictions on "+w.Name)
 		return false
 	}
-	r.makeRoom(t)
+	r.evictForTask(t)
 	return false
 }
 
-// allows reports whether a static split lets the task on the worker.
+// allows reports whether the rule permits the task on the worker. Only a static
+// split restricts it.
 func (r *Round) allows(t Task, w *Worker) bool {
 	if r.placer.config.Rule != RuleStaticSplit {
 		return true
 	}
-	return t.Service == (w.Number%splitEvery == 0)
+	return t.Service == (w.Number%staticSplitInterval == 0)
 }
--- a/placer/evict.go
+++ b/placer/evict.go
@@ -8,29 +8,29 @@
 	"briarspring"
 )
 
-// plan is a set of batch tasks whose eviction makes room on a worker.
-type plan struct {
+// evictionPlan is a set of batch tasks to evict from one worker.
+type evictionPlan struct {
 	worker  *Worker
 	victims []Running
 	cost    int64
 }
 
-// makeRoom evicts the batch tasks that are cheapest to resume, on one worker,
-// so that an executor fits.
-func (r *Round) makeRoom(t Task) {
-	var best *plan
+// evictForTask evicts the cheapest set of batch tasks on a single worker that
+// makes an executor fit, and reserves the freed resources for it.
+func (r *Round) evictForTask(t Task) {
+	var best *evictionPlan
 	for _, w := range r.workers {
-		p := r.planOn(t, w)
+		p := r.planEvictions(t, w)
 		if p != nil && (best == nil || p.cost < best.cost) {
 			best = p
 		}
 	}
 	if best == nil {
-		r.wait(t, fmt.Sprintf("no worker has %s free, nor by evictions", t.Resources))
+		r.recordWait(t, fmt.Sprintf("no worker has %s free, nor by evictions", t.Resources))
 		return
 	}
 	if r.evictions+len(best.victims) > r.placer.config.MaxEvictions {
-		r.wait(t, "evictions of this round are used up")
+		r.recordWait(t, "evictions of this round are used up")
 		return
 	}
 	r.evictions += len(best.victims)
@@ -40,9 +40,11 @@
 		r.evict(v, w, fmt.Sprintf("makes room for %s/%d at cost %d", t.Name, t.State.Index, best.cost))
 	}
 	r.reserve(t, w)
-	r.wait(t, "waits for evictions on "+w.Name)
+	r.recordWait(t, "waits for evictions on "+w.Name)
 }
 
+// evict records an eviction and marks the attempt so that it isn't evicted
+// twice.
 func (r *Round) evict(v Running, w *Worker, reason string) {
 	for i := range w.Running {
 		if w.Running[i].Attempt == v.Attempt {
@@ -54,8 +56,9 @@
 	})
 }
 
-// planOn returns the cheapest evictions found on one worker, or nil.
-func (r *Round) planOn(t Task, w *Worker) *plan {
+// planEvictions returns the cheapest evictions found on one worker, or nil if no
+// evictions there make the task fit.
+func (r *Round) planEvictions(t Task, w *Worker) *evictionPlan {
 	if !w.Usable || !t.Resources.Fits(w.Size) {
 		return nil
 	}
@@ -72,33 +75,33 @@
 			cmp.Compare(a.Attempt.Task.Index, b.Attempt.Task.Index),
 		)
 	})
-	p := &plan{worker: w}
-	room := w.Soon
+	p := &evictionPlan{worker: w}
+	free := w.Soon
 	for _, v := range batch {
-		if t.Resources.Fits(room) {
+		if t.Resources.Fits(free) {
 			break
 		}
-		room = room.Add(v.Resources)
+		free = free.Add(v.Resources)
 		p.victims = append(p.victims, v)
 		p.cost += evictionCost(v)
 	}
-	if !t.Resources.Fits(room) {
+	if !t.Resources.Fits(free) {
 		return nil
 	}
 	return p.prune(t, w.Soon)
 }
 
-// prune gives back victims that the task does not need, dearest first.
-func (p *plan) prune(t Task, soon briarspring.Resources) *plan {
-	room := soon
+// prune removes victims that the task doesn't need, most expensive first.
+func (p *evictionPlan) prune(t Task, soon briarspring.Resources) *evictionPlan {
+	free := soon
 	for _, v := range p.victims {
-		room = room.Add(v.Resources)
+		free = free.Add(v.Resources)
 	}
 	for i := len(p.victims) - 1; i >= 0; i-- {
 		v := p.victims[i]
-		without := room.Sub(v.Resources)
+		without := free.Sub(v.Resources)
 		if t.Resources.Fits(without) {
-			room = without
+			free = without
 			p.cost -= evictionCost(v)
 			p.victims = slices.Delete(p.victims, i, i+1)
 		}
@@ -106,8 +109,8 @@
 	return p
 }
 
-// evictionCost is higher for weighty tasks. A stopped task loses the time of
-// its checkpoint and of waiting, so the processors it held count too.
+// evictionCost grows with the weight of a task. An evicted task loses the time
+// for its checkpoint and for waiting, so its reserved CPU counts too.
 func evictionCost(v Running) int64 {
 	return int64(v.Weight)*1000 + v.Resources.MilliCPU()
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,6 +1,5 @@
-// Package placer decides which task starts on which worker and which task is
-// evicted for it. It knows no clock, does no I/O, and decides alike for equal
-// views.
+// Package placer assigns tasks to workers and chooses batch tasks to evict. It
+// reads no clock and does no I/O, and its decisions are deterministic.
 package placer
 
 import (
@@ -9,37 +8,38 @@
 	"briarspring"
 )
 
-// Noise predicts how much a class of batch tasks slows a service beside it.
-type Noise interface {
-	// Slowdown returns the share by which one task of the class raises the tail
-	// latency of the service, zero for no effect.
+// InterferenceModel predicts how much a class of batch tasks slows a service on
+// the same worker.
+type InterferenceModel interface {
+	// Slowdown returns the relative increase of the service's tail latency that
+	// one task of the class causes; 0 means no effect.
 	Slowdown(service, class string) float64
 }
 
-// Rule chooses the workers of tasks.
+// Rule selects the placement algorithm.
 type Rule string
 
-// The rules. The last two are baselines for measurements.
+// Placement rules. The last two are baselines for benchmarks.
 const (
-	RuleInterference Rule = "interference" // Fill workers, keep noise from services.
-	RuleFirstFit     Rule = "first-fit"    // The first worker with room.
-	RuleStaticSplit  Rule = "static-split" // Services and batch on workers of their own.
+	RuleInterference Rule = "interference" // Pack workers, limit the slowdown of services.
+	RuleFirstFit     Rule = "first-fit"    // First worker with enough free resources.
+	RuleStaticSplit  Rule = "static-split" // Separate workers for services and batch.
 )
 
-// splitEvery is how many workers stand for one that a static split keeps for
-// services.
-const splitEvery = 3
+// staticSplitInterval is the interval of worker numbers that a static split
+// reserves for services: one worker in three.
+const staticSplitInterval = 3
 
 // Config holds the settings of a Placer.
 type Config struct {
-	Rule         Rule // Empty for RuleInterference.
-	Noise        Noise
-	MaxSlowdown  float64 // Predicted rise of a service's tail latency that is accepted.
-	MaxEvictions int     // Evictions in one round.
-	Rejected     int     // Rejected workers named with each decision.
+	Rule         Rule // Defaults to RuleInterference.
+	Noise        InterferenceModel
+	MaxSlowdown  float64 // Highest accepted relative increase of a service's tail latency.
+	MaxEvictions int     // Maximum per round.
+	Rejected     int     // Maximum number of rejected workers listed in a decision.
 }
 
-// Placer decides on placement.
+// Placer places tasks by the configured rule.
 type Placer struct {
 	config Config
 }
@@ -47,35 +47,35 @@
 // New returns a placer.
 func New(c Config) *Placer { return &Placer{config: c} }
 
-// Running is an open attempt on a worker.
+// Running is an attempt that occupies resources on a worker.
 type Running struct {
 	Attempt   briarspring.AttemptID
 	Service   string // Name of the service; empty for a batch task.
-	Class     string // Of a batch task.
+	Class     string // Empty for a service.
 	Resources briarspring.Resources
 	Weight    uint32
-	Elapsed   int64 // Milliseconds since the start, as far as known.
+	Elapsed   int64 // Milliseconds since the start, if known.
 	Evicting  bool
 }
 
-// Worker is a worker as the placer sees it. Place changes Free and Soon as it
-// decides.
+// Worker is the placer's view of a worker. Place updates Free and Soon with each
+// decision.
 type Worker struct {
 	Number  uint32
 	Name    string
 	Rack    string
 	Free    briarspring.Resources
-	Soon    briarspring.Resources // Free once the evictions under way have ended.
+	Soon    briarspring.Resources // Free once pending evictions have finished.
 	Size    briarspring.Resources
 	Usable  bool
-	Why     string // Why it is not usable.
+	Why     string // Reason if it is not usable.
 	Running []Running
 
 	services []string
 	slowdown float64
 }
 
-// Task is a task that waits for an attempt.
+// Task is a task that waits to be placed.
 type Task struct {
 	State     briarspring.TaskState
 	Workload  briarspring.WorkloadID
@@ -84,11 +84,11 @@
 	Class     string
 	Resources briarspring.Resources
 	Weight    uint32
-	Avoid     uint32 // Worker that the task failed on last; zero for none.
-	Probe     bool   // It may start where it is expected to slow services too much.
+	Avoid     uint32 // Worker on which the task last failed; 0 for none.
+	Probe     bool   // It may exceed MaxSlowdown, to refresh the estimate.
 }
 
-// Attempt returns the attempt that a start of the task would be.
+// Attempt returns the ID of the task's next attempt.
 func (t Task) Attempt() briarspring.AttemptID {
 	return briarspring.AttemptID{
 		Task:    briarspring.TaskID{Workload: t.Workload, Index: t.State.Index},
@@ -96,29 +96,29 @@
 	}
 }
 
-// Kind tells what a decision does.
+// Kind is the type of a decision.
 type Kind string
 
-// What a decision does.
+// Kinds of decisions.
 const (
 	KindStart Kind = "start"
 	KindEvict Kind = "evict"
 	KindWait  Kind = "wait"
 )
 
-// Decision is one decision with its reasons.
+// Decision starts a task, evicts one or leaves one waiting, with the reason.
 type Decision struct {
 	Kind     Kind
 	Attempt  briarspring.AttemptID
-	Name     string // Of the workload.
+	Name     string // Name of the workload.
 	Worker   uint32
 	Host     string // Name of the worker.
 	Reason   string
-	Rejected []string // Other workers and why they were not chosen.
-	Probe    bool     // The task is expected to slow a service too much at full speed.
+	Rejected []string // Next best workers with their costs.
+	Probe    bool     // The predicted slowdown at full speed exceeds MaxSlowdown.
 }
 
-// Round holds the state of one round of decisions.
+// Round holds the state of one scheduling round.
 type Round struct {
 	placer    *Placer
 	workers   []*Worker
@@ -132,8 +132,8 @@
 	rack    string
 }
 
-// NewRound begins a round over the workers of a data centre, which must be in
-// order of number.
+// NewRound starts a round over the workers of a data centre, which must be
+// sorted by number.
 func (p *Placer) NewRound(workers []*Worker) *Round {
 	r := &Round{placer: p, workers: workers, racks: map[spreadKey]int{}}
 	for _, w := range workers {
@@ -146,19 +146,19 @@
 		}
 		for _, t := range w.Running {
 			if t.Service == "" && !t.Evicting {
-				w.slowdown += r.noiseOn(w, t.Class)
+				w.slowdown += r.worstSlowdown(w, t.Class)
 			}
 		}
 	}
 	return r
 }
 
-// Decisions returns what was decided so far, in order.
+// Decisions returns the round's decisions so far, in order.
 func (r *Round) Decisions() []Decision { return r.decisions }
 
-// noiseOn returns the highest slowdown that one task of a class causes to a
-// service on the worker.
-func (r *Round) noiseOn(w *Worker, class string) float64 {
+// worstSlowdown returns the highest slowdown that one task of a class causes to
+// any service on the worker.
+func (r *Round) worstSlowdown(w *Worker, class string) float64 {
 	highest := 0.0
 	if r.placer.config.Noise == nil {
 		return 0
@@ -169,18 +169,19 @@
 	return highest
 }
 
-// Place decides on one waiting task and reports whether it starts.
+// Place tries to place a task and reports whether it starts. It may record
+// evictions instead.
 func (r *Round) Place(t Task) bool {
 	switch {
 	case r.placer.config.Rule == RuleFirstFit || r.placer.config.Rule == RuleStaticSplit:
-		return r.placeFirst(t)
+		return r.placeFirstFit(t)
 	case t.Service:
 		return r.placeExecutor(t)
 	}
 	return r.placeBatch(t)
 }
 
-// start records the decision and takes the task's resources from the worker.
+// start records the decision and deducts the task's resources from the worker.
 func (r *Round) start(t Task, w *Worker, reason string, rejected []string) {
 	w.Free = w.Free.Sub(t.Resources)
 	w.Soon = w.Soon.Sub(t.Resources)
@@ -188,7 +189,7 @@
 		w.services = append(w.services, t.Name)
 		r.racks[spreadKey{t.Name, w.Rack}]++
 	} else {
-		w.slowdown += r.noiseOn(w, t.Class)
+		w.slowdown += r.worstSlowdown(w, t.Class)
 	}
 	r.decisions = append(r.decisions, Decision{
 		Kind: KindStart, Attempt: t.Attempt(), Name: t.Name, Worker: w.Number, Host: w.Name,
@@ -196,55 +197,56 @@
 	})
 }
 
-func (r *Round) wait(t Task, reason string) {
+func (r *Round) recordWait(t Task, reason string) {
 	r.decisions = append(r.decisions, Decision{
 		Kind: KindWait, Attempt: t.Attempt(), Name: t.Name, Reason: reason,
 	})
 }
 
-// placeBatch starts a batch task where it leaves the least room unused and
-// slows services least.
+// placeBatch starts a batch task on the worker where it leaves the least unused
+// and slows services least.
 func (r *Round) placeBatch(t Task) bool {
 	top := newRanking(r.placer.config.Rejected + 1)
-	noisy := 0
-	quietest := newRanking(1)
+	tooSlow := 0
+	leastSlowed := newRanking(1)
 	for _, w := range r.workers {
 		if !w.Usable || !t.Resources.Fits(w.Free) {
 			continue
 		}
-		noise := r.noiseOn(w, t.Class)
-		if noise > 0 && w.slowdown+noise > r.placer.config.MaxSlowdown {
-			noisy++
-			quietest.add(candidate{worker: w, score: w.slowdown + noise})
+		slowdown := r.worstSlowdown(w, t.Class)
+		if slowdown > 0 && w.slowdown+slowdown > r.placer.config.MaxSlowdown {
+			tooSlow++
+			leastSlowed.add(candidate{worker: w, score: w.slowdown + slowdown})
 			continue
 		}
-		top.add(candidate{worker: w, score: batchScore(w, t, noise)})
+		top.add(candidate{worker: w, score: batchScore(w, t, slowdown)})
 	}
 	best := top.best()
 	if best == nil && t.Probe {
-		if q := quietest.best(); q != nil {
+		if q := leastSlowed.best(); q != nil {
 			r.start(t, q.worker, fmt.Sprintf("probes an expected slowdown of %.2f", q.score), nil)
 			r.decisions[len(r.decisions)-1].Probe = true
 			return true
 		}
 	}
 	if best == nil {
-		r.wait(t, r.whyNone(t, noisy))
+		r.recordWait(t, r.noFitReason(t, tooSlow))
 		return false
 	}
 	r.start(t, best.worker, fmt.Sprintf("lowest cost %.3f", best.score), top.rejected())
 	return true
 }
 
-// batchScore is lower for workers that the task fills up and does not disturb.
-func batchScore(w *Worker, t Task, noise float64) float64 {
+// batchScore is the cost of a batch task on a worker: lower the less it leaves
+// unused and the less it slows services.
+func batchScore(w *Worker, t Task, slowdown float64) float64 {
 	const (
-		noiseCost   = 10.0
-		serviceCost = 0.05 // Beside a service whose sensitivity is not known.
-		avoidCost   = 5.0
+		slowdownCost = 10.0
+		serviceCost  = 0.05 // Per service, as its sensitivity may be unknown.
+		avoidCost    = 5.0
 	)
 	left := w.Free.Sub(t.Resources)
-	score := share(left.MilliCPU(), w.Size.MilliCPU()) + 0.1*share(left.MemoryMiB(), w.Size.MemoryMiB())
+	score := fraction(left.MilliCPU(), w.Size.MilliCPU()) + 0.1*fraction(left.MemoryMiB(), w.Size.MemoryMiB())
 	// Accelerators are kept for the tasks that need them.
 	if t.Resources.Accelerators() == 0 {
 		score += float64(left.Accelerators())
@@ -252,25 +254,25 @@
 	if w.Number == t.Avoid {
 		score += avoidCost
 	}
-	return score + noiseCost*noise + serviceCost*float64(len(w.services))
+	return score + slowdownCost*slowdown + serviceCost*float64(len(w.services))
 }
 
-func share(part, whole int64) float64 {
+func fraction(part, whole int64) float64 {
 	if whole == 0 {
 		return 0
 	}
 	return float64(part) / float64(whole)
 }
 
-func (r *Round) whyNone(t Task, noisy int) string {
-	if noisy > 0 {
-		return fmt.Sprintf("%d workers have room, but %s would slow a service there too much", noisy, t.Class)
+func (r *Round) noFitReason(t Task, tooSlow int) string {
+	if tooSlow > 0 {
+		return fmt.Sprintf("%d workers have room, but %s would slow a service there too much", tooSlow, t.Class)
 	}
 	return fmt.Sprintf("no worker has %s free", t.Resources)
 }
 
-// placeExecutor starts an executor away from others of its service, or makes
-// room for it by evicting batch tasks.
+// placeExecutor starts an executor, spread over workers and racks, or evicts
+// batch tasks to make it fit.
 func (r *Round) placeExecutor(t Task) bool {
 	top := newRanking(r.placer.config.Rejected + 1)
 	for _, w := range r.workers {
@@ -283,22 +285,22 @@
 		r.start(t, best.worker, fmt.Sprintf("lowest cost %.3f", best.score), top.rejected())
 		return true
 	}
-	if w := r.soonest(t); w != nil {
+	if w := r.workerAfterEvictions(t); w != nil {
 		r.reserve(t, w)
-		r.wait(t, "waits for evictions on "+w.Name)
+		r.recordWait(t, "waits for evictions on "+w.Name)
 		return false
 	}
-	r.makeRoom(t)
+	r.evictForTask(t)
 	return false
 }
 
-// executorScore is lower for workers and racks without the service, with
-// little noise and much room.
+// executorScore is the cost of an executor on a worker: lower on workers and
+// racks without the service, with little interference and much free CPU.
 func (r *Round) executorScore(w *Worker, t Task) float64 {
 	const (
 		sameWorkerCost = 10.0
 		sameRackCost   = 1.0
-		noiseCost      = 2.0
+		slowdownCost   = 2.0
 	)
 	same := 0
 	for _, s := range w.services {
@@ -306,21 +308,22 @@
 			same++
 		}
 	}
-	noise := 0.0
+	slowdown := 0.0
 	if r.placer.config.Noise != nil {
 		for _, o := range w.Running {
 			if o.Service == "" {
-				noise += r.placer.config.Noise.Slowdown(t.Name, o.Class)
+				slowdown += r.placer.config.Noise.Slowdown(t.Name, o.Class)
 			}
 		}
 	}
-	used := 1 - share(w.Free.MilliCPU(), w.Size.MilliCPU())
+	used := 1 - fraction(w.Free.MilliCPU(), w.Size.MilliCPU())
 	return sameWorkerCost*float64(same) + sameRackCost*float64(r.racks[spreadKey{t.Name, w.Rack}]) +
-		noiseCost*noise + used
+		slowdownCost*slowdown + used
 }
 
-// soonest returns a worker where the task fits once evictions have ended.
-func (r *Round) soonest(t Task) *Worker {
+// workerAfterEvictions returns the first worker on which the task fits once
+// pending evictions have finished, or nil.
+func (r *Round) workerAfterEvictions(t Task) *Worker {
 	for _, w := range r.workers {
 		if w.Usable && t.Resources.Fits(w.Soon) {
 			return w
@@ -329,7 +332,8 @@
 	return nil
 }
 
-// reserve keeps room that evictions free for the task that they were made for.
+// reserve deducts the task's resources from the worker, so that no other task
+// takes what the evictions free.
 func (r *Round) reserve(t Task, w *Worker) {
 	w.Soon = w.Soon.Sub(t.Resources)
 	w.Free = w.Free.Sub(t.Resources)
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -39,14 +39,14 @@
 	return r.Decisions()
 }
 
-func newPlacer(noise placer.Noise) *placer.Placer {
-	return placer.New(placer.Config{Noise: noise, MaxSlowdown: 0.2, MaxEvictions: 4, Rejected: 3})
+func newPlacer(model placer.InterferenceModel) *placer.Placer {
+	return placer.New(placer.Config{Noise: model, MaxSlowdown: 0.2, MaxEvictions: 4, Rejected: 3})
 }
 
-// noisy slows every service by a fixed share.
-type noisy float64
+// fixedSlowdown predicts the same slowdown for every service.
+type fixedSlowdown float64
 
-func (n noisy) Slowdown(string, string) float64 { return float64(n) }
+func (s fixedSlowdown) Slowdown(string, string) float64 { return float64(s) }
 
 func TestBatchFillsWorkers(t *testing.T) {
 	d := place(newPlacer(nil), task(4, false), worker(1, 16), worker(2, 5), worker(3, 3))
@@ -58,20 +58,20 @@
 
 func TestBatchKeepsNoiseFromServices(t *testing.T) {
 	service := placer.Running{Service: "ledger", Resources: cores(2)}
-	d := place(newPlacer(noisy(0.5)), task(4, false), worker(1, 8, service), worker(2, 16))
+	d := place(newPlacer(fixedSlowdown(0.5)), task(4, false), worker(1, 8, service), worker(2, 16))
 	assert.Equal(t, "w2", d[0].Host)
-	d = place(newPlacer(noisy(0.5)), task(4, false), worker(1, 8, service))
+	d = place(newPlacer(fixedSlowdown(0.5)), task(4, false), worker(1, 8, service))
 	assert.Equal(t, placer.KindWait, d[0].Kind)
 	assert.Contains(t, d[0].Reason, "slow a service")
 }
 
-// Estimates that were learned on a loaded host kept the last tasks of a job from
-// every worker; without a task beside a service nothing could correct them.
+// Estimates learned on a loaded host kept the last tasks of a job off every
+// worker, and with no task next to a service no measurement corrected them.
 func TestProbeStartsWhereItIsQuietest(t *testing.T) {
 	service := placer.Running{Service: "ledger", Resources: cores(2)}
 	probe := task(2, false)
 	probe.Probe = true
-	d := place(newPlacer(noisy(0.5)), probe, worker(1, 8, service, batch(3, 1, 1)), worker(2, 8, service))
+	d := place(newPlacer(fixedSlowdown(0.5)), probe, worker(1, 8, service, batch(3, 1, 1)), worker(2, 8, service))
 	require.Len(t, d, 1)
 	assert.Equal(t, placer.KindStart, d[0].Kind)
 	assert.Equal(t, "w2", d[0].Host)
@@ -122,7 +122,7 @@
 		for i := range uint32(50) {
 			workers = append(workers, worker(i+1, int64(i%7), batch(uint64(i), 2, i%5)))
 		}
-		r := newPlacer(noisy(0.01)).NewRound(workers)
+		r := newPlacer(fixedSlowdown(0.01)).NewRound(workers)
 		for i := range uint32(60) {
 			x := task(int64(1+i%6), i%3 == 0)
 			x.State.Index = i
--- a/placer/ranking.go
+++ b/placer/ranking.go
@@ -2,47 +2,47 @@
 
 import "fmt"
 
-// candidate is a worker with its cost for a task.
+// candidate is a worker with its cost for a task; lower is better.
 type candidate struct {
 	worker *Worker
 	score  float64
 }
 
-// ranking keeps the few cheapest candidates; earlier ones win ties.
+// ranking keeps the limit cheapest candidates; earlier ones win ties.
 type ranking struct {
-	most int
-	list []candidate
+	limit      int
+	candidates []candidate
 }
 
-func newRanking(most int) *ranking {
-	return &ranking{most: most, list: make([]candidate, 0, most+1)}
+func newRanking(limit int) *ranking {
+	return &ranking{limit: limit, candidates: make([]candidate, 0, limit+1)}
 }
 
 func (k *ranking) add(c candidate) {
-	if len(k.list) == k.most && c.score >= k.list[k.most-1].score {
+	if len(k.candidates) == k.limit && c.score >= k.candidates[k.limit-1].score {
 		return
 	}
-	at := len(k.list)
-	for at > 0 && c.score < k.list[at-1].score {
-		at--
+	i := len(k.candidates)
+	for i > 0 && c.score < k.candidates[i-1].score {
+		i--
 	}
-	k.list = append(k.list, candidate{})
-	copy(k.list[at+1:], k.list[at:])
-	k.list[at] = c
-	k.list = k.list[:min(len(k.list), k.most)]
+	k.candidates = append(k.candidates, candidate{})
+	copy(k.candidates[i+1:], k.candidates[i:])
+	k.candidates[i] = c
+	k.candidates = k.candidates[:min(len(k.candidates), k.limit)]
 }
 
 func (k *ranking) best() *candidate {
-	if len(k.list) == 0 {
+	if len(k.candidates) == 0 {
 		return nil
 	}
-	return &k.list[0]
+	return &k.candidates[0]
 }
 
-// rejected describes the candidates behind the best one.
+// rejected describes all candidates but the best.
 func (k *ranking) rejected() []string {
 	var out []string
-	for _, c := range k.list[1:] {
+	for _, c := range k.candidates[1:] {
 		out = append(out, fmt.Sprintf("%s: cost %.3f", c.worker.Name, c.score))
 	}
 	return out
