--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -1,8 +1,8 @@
-// Package pacer decides how fast the tasks that use idle reservations may work
-// beside tasks that serve, and learns which image presses which. It answers
-// this load: some images press the tails of some others, most press none, by
-// amounts that drift within seconds, while tails are only known for the last
-// half second. It does no input or output.
+// Package pacer throttles best-effort tasks, which use idle reserved cores, so
+// that they don't slow the serving tasks on the same worker, and learns which
+// images interfere with which. It is built for loads where some images raise the
+// tail latency of some others and most of none, by amounts that drift within
+// seconds, while tails are only known for the last half second. It does no I/O.
 package pacer
 
 import (
@@ -17,71 +17,76 @@
 )
 
 const (
-	// brakeTail of the target, up to which tasks that press may raise a tail.
-	brakeTail = 0.75
-	// stopTail of the target, from which what presses is stopped.
+	// throttleTail is the tail, as a fraction of the target, up to which
+	// interfering tasks may raise it.
+	throttleTail = 0.75
+	// stopTail is the tail, as a fraction of the target, from which interfering
+	// tasks are stopped.
 	stopTail = 0.95
-	// calmTail of the target, below which tasks that press get more room.
-	calmTail = 0.6
-	// patience with a tail above its target before everything beside it is
-	// stopped, whatever the estimates say; a fraction of the 4 s that the platform
-	// allows.
-	patience = 900 * time.Millisecond
-	// pressingRise per core, as a share of the target, from which an image counts
-	// as pressing.
-	pressingRise = 0.06
-	// usualPeak is the ratio of the present pressure to the average one that is
-	// reckoned with at first: amounts drift.
-	usualPeak = 3.0
-	// leastGain and mostGain bound the factor by which readings change the room.
-	leastGain = 0.1
-	mostGain  = 1.0
-	// gainCut after a reading above brakeTail, and gainStep after a calm one.
-	gainCut  = 0.5
-	gainStep = 1.15
-	// usageWeight of the newest reading of the processors in use; tails follow
-	// them with about half a second of lag.
+	// recoverTail is the tail, as a fraction of the target, below which interfering
+	// tasks are throttled less.
+	recoverTail = 0.6
+	// maxOverTime is how long a tail may stay at stopTail or above before all
+	// best-effort tasks of the worker are stopped, whatever the models predict. The
+	// platform allows 4 s above the target.
+	maxOverTime = 900 * time.Millisecond
+	// interferingRise is the rise per core, as a fraction of the target, from which
+	// an image counts as interfering.
+	interferingRise = 0.06
+	// peakFactor is the assumed ratio of peak to average interference, which
+	// drifts.
+	peakFactor = 3.0
+	// minGain and maxGain limit the gain that measurements apply to the headroom.
+	minGain = 0.1
+	maxGain = 1.0
+	// gainDecrease applies after a tail of throttleTail or more, gainIncrease after
+	// one below recoverTail.
+	gainDecrease = 0.5
+	gainIncrease = 1.15
+	// usageWeight is the weight of the newest measurement in the moving average of
+	// the cores in use; tails lag them by about half a second.
 	usageWeight = 0.6
-	// fullSpeed is the pace of a task that is not slowed, in percent.
+	// fullSpeed is the pace of an unthrottled task, in percent.
 	fullSpeed = 100
-	// leastUsage in cores below which an image counts as idle.
-	leastUsage = 0.001
-	// slowdownOfUnknown is the pace factor of a task that may be the cause of a
-	// slow tail for all that is known.
-	slowdownOfUnknown = 0.5
+	// minUsage is the number of cores below which an image counts as idle.
+	minUsage = 0.001
+	// suspectPaceFactor multiplies the pace of a task that may be the cause of a
+	// high tail, as the model can't rule it out.
+	suspectPaceFactor = 0.5
 )
 
-// Pacer holds the estimates of one data centre.
+// Pacer holds the interference models of one data centre.
 type Pacer struct {
-	estimates map[string]*estimate // By image that serves.
-	workers   map[string]*workerState
-	images    map[string]bool // That were seen to work beside tasks that serve.
+	models  map[string]*tailModel // By serving image.
+	workers map[string]*workerState
+	images  map[string]bool // Images that ran next to serving tasks.
 }
 
-// workerState is what is remembered of a worker between two readings.
+// workerState is the state of a worker between two measurements.
 type workerState struct {
-	usage map[string]float64 // Smoothed cores in use by image.
-	over  time.Duration      // Since when a tail is above its target; zero for none.
-	gain  float64            // Of the room for tasks that press, from the last readings.
+	usage     map[string]float64 // Moving average of the cores in use, by image.
+	overSince time.Duration      // Time since which a tail is at stopTail or above; 0 for none.
+	gain      float64            // Factor of the headroom, from the last measurements.
 }
 
-// New returns a pacer without estimates.
+// New returns a pacer without measurements.
 func New() *Pacer {
-	return &Pacer{estimates: map[string]*estimate{}, workers: map[string]*workerState{}, images: map[string]bool{}}
+	return &Pacer{models: map[string]*tailModel{}, workers: map[string]*workerState{}, images: map[string]bool{}}
 }
 
-// Rise returns by which share of its target each core used by an image raises
-// the tail of an image that serves.
-func (p *Pacer) Rise(serving, image string) float64 {
-	e := p.estimates[serving]
-	if e == nil {
+// RisePerCore returns the rise of a serving image's tail for each core that
+// another image uses, as a fraction of the target.
+func (p *Pacer) RisePerCore(serving, image string) float64 {
+	model := p.models[serving]
+	if model == nil {
 		return 0
 	}
-	rise, spread := e.rise(image)
-	return max(0, rise-spread/4)
+	rise, stdErr := model.rise(image)
+	return max(0, rise-stdErr/4)
 }
 
-// Burden returns the share of the known images that press a task that serves.
+// Burden returns the fraction of the known images that interfere with any of the
+// serving tasks.
 func (p *Pacer) Burden(serving []dispatcher.Serving) float64 {
 	if len(p.images) == 0 {
 		return 0
@@ -95,82 +100,83 @@
 	return float64(n) / float64(len(p.images))
 }
 
-// Presses reports whether an image presses any of the tasks that serve.
+// Presses reports whether an image interferes with any of the serving tasks.
 func (p *Pacer) Presses(image string, serving []dispatcher.Serving) bool {
-	return slices.ContainsFunc(serving, func(s dispatcher.Serving) bool { return p.Rise(s.Image, image) >= pressingRise })
+	return slices.ContainsFunc(serving, func(s dispatcher.Serving) bool { return p.RisePerCore(s.Image, image) >= interferingRise })
 }
 
-// Share returns the share of full speed at which one more task of an image could
-// work on a worker.
-func (p *Pacer) Share(worker, image string, cores float64, serving []dispatcher.Serving, filling []dispatcher.Filling) float64 {
+// Share returns the fraction of full speed at which one more task of an image
+// could run on a worker.
+func (p *Pacer) Share(worker, image string, cores float64, serving []dispatcher.Serving, bestEffort []dispatcher.Filling) float64 {
 	share := 1.0
 	for _, s := range serving {
 		if s.Tail >= stopTail {
-			// What raises this tail is not known for certain, so nothing is added.
+			// The cause of the high tail isn't certain, so no task is added.
 			return 0
 		}
-		rise := p.Rise(s.Image, image)
-		if rise < pressingRise {
+		rise := p.RisePerCore(s.Image, image)
+		if rise < interferingRise {
 			continue
 		}
-		room := p.room(worker, s)
-		for _, f := range filling {
-			room -= p.pressure(f, s) * float64(f.Percent) / fullSpeed
+		headroom := p.headroom(worker, s)
+		for _, f := range bestEffort {
+			headroom -= p.fullSpeedRise(f, s) * float64(f.Percent) / fullSpeed
 		}
-		share = min(share, room/(rise*cores))
+		share = min(share, headroom/(rise*cores))
 	}
 	return max(0, share)
 }
 
-// room returns by how much tasks that press may raise a tail on average.
-func (p *Pacer) room(worker string, s dispatcher.Serving) float64 {
+// headroom returns how much interfering tasks may raise a tail on average.
+func (p *Pacer) headroom(worker string, s dispatcher.Serving) float64 {
 	if s.Tail >= stopTail {
 		return 0
 	}
 	base := s.Tail
-	if e := p.estimates[s.Image]; e != nil {
-		base = min(base, max(e.value[0], s.Tail-p.present(worker, s)))
+	if model := p.models[s.Image]; model != nil {
+		base = min(base, max(model.value[0], s.Tail-p.explainedRise(worker, s)))
 	}
 	gain := 1.0
 	if w := p.workers[worker]; w != nil {
 		gain = w.gain
 	}
-	return max(0, brakeTail-base) / usualPeak * gain
+	return max(0, throttleTail-base) / peakFactor * gain
 }
 
-// present returns the rise that the processors in use explain.
-func (p *Pacer) present(worker string, s dispatcher.Serving) float64 {
+// explainedRise returns the part of a tail that the cores in use explain.
+func (p *Pacer) explainedRise(worker string, s dispatcher.Serving) float64 {
 	w := p.workers[worker]
 	if w == nil {
 		return 0
 	}
 	sum := 0.0
 	for image, n := range w.usage {
-		sum += p.Rise(s.Image, image) * n
+		sum += p.RisePerCore(s.Image, image) * n
 	}
 	return sum
 }
 
-// pressure returns the average rise that a task causes at full speed; zero when
-// it does not press.
-func (p *Pacer) pressure(f dispatcher.Filling, s dispatcher.Serving) float64 {
-	if rise := p.Rise(s.Image, f.Image); rise >= pressingRise {
+// fullSpeedRise returns the average rise that a task causes at full speed, or zero
+// if it doesn't interfere.
+func (p *Pacer) fullSpeedRise(f dispatcher.Filling, s dispatcher.Serving) float64 {
+	if rise := p.RisePerCore(s.Image, f.Image); rise >= interferingRise {
 		return rise * f.Cores
 	}
 	return 0
 }
 
-// Forget drops what is remembered of a worker.
+// Forget drops the state of a worker.
 func (p *Pacer) Forget(worker string) { delete(p.workers, worker) }
 
-// Decide takes a reading of a worker and returns the changes of pace.
-func (p *Pacer) Decide(now time.Duration, worker string, serving []dispatcher.Serving, filling []dispatcher.Filling) []dispatcher.Pace {
+// Decide updates the models with a worker's measurements and returns the changes
+// of pace.
+func (p *Pacer) Decide(now time.Duration, worker string, serving []dispatcher.Serving, bestEffort []dispatcher.Filling) []dispatcher.Pace {
 	w := p.workers[worker]
 	if w == nil {
 		w = &workerState{usage: map[string]float64{}, gain: 1}
 		p.workers[worker] = w
 	}
-	w.smooth(filling)
+	w.updateUsage(bestEffort)
 	worst := 0.0
 	for _, s := range serving {
 		if s.Marked {
@@ -178,49 +184,49 @@
 			p.learn(s, w.usage)
 		}
 	}
-	w.adapt(now, worst)
-	if w.over != 0 && now-w.over > patience {
-		return slowTo(filling, 0)
+	w.adjustGain(now, worst)
+	if w.overSince != 0 && now-w.overSince > maxOverTime {
+		return limitPace(bestEffort, 0)
 	}
-	return p.allot(worker, serving, filling)
+	return p.assignPaces(worker, serving, bestEffort)
 }
 
-// adapt changes the room for tasks that press by the worst tail.
-func (w *workerState) adapt(now time.Duration, worst float64) {
+// adjustGain adjusts the gain of the headroom to the worst tail.
+func (w *workerState) adjustGain(now time.Duration, worst float64) {
 	switch {
-	case worst >= brakeTail:
-		w.gain = max(leastGain, w.gain*gainCut)
-	case worst < calmTail:
-		w.gain = min(mostGain, w.gain*gainStep)
+	case worst >= throttleTail:
+		w.gain = max(minGain, w.gain*gainDecrease)
+	case worst < recoverTail:
+		w.gain = min(maxGain, w.gain*gainIncrease)
 	}
 	if worst < stopTail {
-		w.over = 0
-	} else if w.over == 0 {
-		w.over = now
+		w.overSince = 0
+	} else if w.overSince == 0 {
+		w.overSince = now
 	}
 }
 
-// allot shares the room out among the tasks that press, to those first that
-// have come furthest, and lets the others work at full speed.
-func (p *Pacer) allot(worker string, serving []dispatcher.Serving, filling []dispatcher.Filling) []dispatcher.Pace {
-	rooms := make([]float64, len(serving))
+// assignPaces divides the headroom among the interfering tasks, those with most
+// progress first, and lets the others run at full speed.
+func (p *Pacer) assignPaces(worker string, serving []dispatcher.Serving, bestEffort []dispatcher.Filling) []dispatcher.Pace {
+	headrooms := make([]float64, len(serving))
 	for i, s := range serving {
-		rooms[i] = p.room(worker, s)
+		headrooms[i] = p.headroom(worker, s)
 	}
-	order := slices.Clone(filling)
+	order := slices.Clone(bestEffort)
 	slices.SortStableFunc(order, func(a, b dispatcher.Filling) int { return cmp.Compare(b.Progress, a.Progress) })
 	var paces []dispatcher.Pace
 	for _, f := range order {
 		share := 1.0
 		for i, s := range serving {
-			if pressure := p.pressure(f, s); pressure > 0 {
-				share = min(share, rooms[i]/pressure)
+			if rise := p.fullSpeedRise(f, s); rise > 0 {
+				share = min(share, headrooms[i]/rise)
 			} else if s.Tail >= stopTail && !p.harmless(s.Image, f.Image) {
-				share = min(share, slowdownOfUnknown*float64(f.Percent)/fullSpeed)
+				share = min(share, suspectPaceFactor*float64(f.Percent)/fullSpeed)
 			}
 		}
 		for i, s := range serving {
-			rooms[i] -= p.pressure(f, s) * share
+			headrooms[i] -= p.fullSpeedRise(f, s) * share
 		}
 		if percent := int(math.Round(fullSpeed * share)); percent != f.Percent {
 			paces = append(paces, dispatcher.Pace{Run: f.Run, Percent: percent})
@@ -229,27 +235,28 @@
 	return paces
 }
 
+// learn updates the model of a serving image with a measured tail.
 func (p *Pacer) learn(s dispatcher.Serving, usage map[string]float64) {
-	e := p.estimates[s.Image]
-	if e == nil {
-		e = newEstimate()
-		p.estimates[s.Image] = e
+	model := p.models[s.Image]
+	if model == nil {
+		model = newTailModel()
+		p.models[s.Image] = model
 	}
 	for image := range usage {
 		p.images[image] = true
 	}
-	e.observe(s.Tail, usage)
+	model.observe(s.Tail, usage)
 }
 
-// smooth takes in the processors that are in use by image.
-func (w *workerState) smooth(filling []dispatcher.Filling) {
+// updateUsage updates the moving average of the cores in use by image.
+func (w *workerState) updateUsage(bestEffort []dispatcher.Filling) {
 	used := map[string]float64{}
-	for _, f := range filling {
+	for _, f := range bestEffort {
 		used[f.Image] += f.Used
 	}
 	for image, before := range w.usage {
 		w.usage[image] = before + usageWeight*(used[image]-before)
-		if w.usage[image] < leastUsage {
+		if w.usage[image] < minUsage {
 			delete(w.usage, image)
 		}
 	}
@@ -260,19 +267,20 @@
 	}
 }
 
-// harmless reports whether an image is known not to press another one.
+// harmless reports whether an image is known not to interfere with a serving one.
 func (p *Pacer) harmless(serving, image string) bool {
-	e := p.estimates[serving]
-	if e == nil {
+	model := p.models[serving]
+	if model == nil {
 		return false
 	}
-	rise, spread := e.rise(image)
-	return rise+2*spread < 2*pressingRise
+	rise, stdErr := model.rise(image)
+	return rise+2*stdErr < 2*interferingRise
 }
 
-func slowTo(filling []dispatcher.Filling, percent int) []dispatcher.Pace {
+// limitPace returns the paces that limit every faster task to a percentage.
+func limitPace(bestEffort []dispatcher.Filling, percent int) []dispatcher.Pace {
 	var paces []dispatcher.Pace
-	for _, f := range filling {
+	for _, f := range bestEffort {
 		if f.Percent > percent {
 			paces = append(paces, dispatcher.Pace{Run: f.Run, Percent: percent})
 		}
@@ -280,27 +288,28 @@
 	return paces
 }
 
-// Model returns what is known well, for other owners.
+// Model returns the well-known coefficients, to share them with other owners.
 func (p *Pacer) Model() []briarspring.PressModel {
 	var models []briarspring.PressModel
-	for _, serving := range slices.Sorted(maps.Keys(p.estimates)) {
-		if m := p.estimates[serving].tell(serving); len(m.Pairs) > 0 {
+	for _, serving := range slices.Sorted(maps.Keys(p.models)) {
+		if m := p.models[serving].export(serving); len(m.Pairs) > 0 {
 			models = append(models, m)
 		}
 	}
 	return models
 }
 
-// Adopt takes over what other owners know much better. It answers changes of
-// owners: a new one would let every pair press once to learn it.
+// Adopt replaces coefficients that other owners have estimated much more
+// precisely. Without them a new owner would have to let every pair interfere once
+// to learn its effect.
 func (p *Pacer) Adopt(models []briarspring.PressModel) {
 	for _, m := range models {
-		e := p.estimates[m.Serving]
-		if e == nil {
-			e = newEstimate()
-			p.estimates[m.Serving] = e
+		model := p.models[m.Serving]
+		if model == nil {
+			model = newTailModel()
+			p.models[m.Serving] = model
 		}
-		e.adopt(m)
+		model.adopt(m)
 		for _, pair := range m.Pairs {
 			p.images[pair.Image] = true
 		}
--- a/pacer/pacer_test.go
+++ b/pacer/pacer_test.go
@@ -13,131 +13,131 @@
 	"briarspring/pacer"
 )
 
-// bench is a data centre whose truth is known: "heavy" presses "ledger" and
-// nothing else, "light" presses nothing. Tails follow with a lag.
-type bench struct {
-	p       *pacer.Pacer
-	now     time.Duration
-	random  *rand.Rand
-	pressed map[string]float64 // Cores that press, by worker.
+// simulation is a data centre with known interference: "heavy" raises the tail of
+// "ledger" only, "light" raises none. Tails follow the load with a lag.
+type simulation struct {
+	p           *pacer.Pacer
+	now         time.Duration
+	random      *rand.Rand
+	interfering map[string]float64 // Moving average of the interfering cores, by worker.
 }
 
-func newBench() *bench {
-	return &bench{p: pacer.New(), random: rand.New(rand.NewPCG(1, 2)), pressed: map[string]float64{}}
+func newSimulation() *simulation {
+	return &simulation{p: pacer.New(), random: rand.New(rand.NewPCG(1, 2)), interfering: map[string]float64{}}
 }
 
-func filling(number int, image string, percent int) dispatcher.Filling {
+func bestEffort(number int, image string, percent int) dispatcher.Filling {
 	run := briarspring.RunRef{Task: briarspring.TaskRef{Workflow: briarspring.WorkflowID(fmt.Sprint(number))}, Run: 1}
 	return dispatcher.Filling{Run: run, Image: image, Cores: 2, Used: 2 * float64(percent) / 100, Percent: percent}
 }
 
-// tail returns the true tail of an image that serves on a worker beside others.
-func (b *bench) tail(worker, image string, beside []dispatcher.Filling) float64 {
+// tail returns the true tail of a serving image next to best-effort tasks.
+func (s *simulation) tail(worker, image string, tasks []dispatcher.Filling) float64 {
 	cores := 0.0
-	for _, f := range beside {
+	for _, f := range tasks {
 		if f.Image == "heavy" && image == "ledger" {
 			cores += f.Used
 		}
 	}
-	b.pressed[worker] += 0.6 * (cores - b.pressed[worker])
-	return 0.4 + 0.05*b.random.Float64() + 0.5*b.pressed[worker]
+	s.interfering[worker] += 0.6 * (cores - s.interfering[worker])
+	return 0.4 + 0.05*s.random.Float64() + 0.5*s.interfering[worker]
 }
 
-// read makes a reading of a worker and returns the tail and the decisions.
-func (b *bench) read(worker, image string, beside []dispatcher.Filling) (float64, []dispatcher.Pace) {
-	b.now += 500 * time.Millisecond
-	tail := b.tail(worker, image, beside)
-	return tail, b.p.Decide(b.now, worker, []dispatcher.Serving{{Image: image, Tail: tail, Marked: true}}, beside)
+// measure takes a measurement of a worker and returns the tail and the decisions.
+func (s *simulation) measure(worker, image string, tasks []dispatcher.Filling) (float64, []dispatcher.Pace) {
+	s.now += 500 * time.Millisecond
+	tail := s.tail(worker, image, tasks)
+	return tail, s.p.Decide(s.now, worker, []dispatcher.Serving{{Image: image, Tail: tail, Marked: true}}, tasks)
 }
 
-// learn makes readings of all pairs.
-func (b *bench) learn() {
+// learn measures all pairs of images.
+func (s *simulation) learn() {
 	for i := range 200 {
 		for _, serving := range []string{"ledger", "archive"} {
 			for _, image := range []string{"heavy", "light"} {
 				worker := serving + image
-				b.read(worker, serving, []dispatcher.Filling{filling(1, image, 100*(i/4%2))})
+				s.measure(worker, serving, []dispatcher.Filling{bestEffort(1, image, 100*(i/4%2))})
 			}
 		}
 	}
 }
 
-func calm(image string) []dispatcher.Serving {
+func lowTail(image string) []dispatcher.Serving {
 	return []dispatcher.Serving{{Image: image, Tail: 0.4, Marked: true}}
 }
 
 func TestLearning(t *testing.T) {
-	b := newBench()
-	b.learn()
-	t.Run("finds the pair that presses", func(t *testing.T) {
-		assert.InDelta(t, 0.5, b.p.Rise("ledger", "heavy"), 0.1)
-		assert.Less(t, b.p.Rise("ledger", "light"), 0.05)
-		assert.Less(t, b.p.Rise("archive", "heavy"), 0.05)
+	s := newSimulation()
+	s.learn()
+	t.Run("finds the interfering pair", func(t *testing.T) {
+		assert.InDelta(t, 0.5, s.p.RisePerCore("ledger", "heavy"), 0.1)
+		assert.Less(t, s.p.RisePerCore("ledger", "light"), 0.05)
+		assert.Less(t, s.p.RisePerCore("archive", "heavy"), 0.05)
 	})
-	t.Run("sends images where they press nothing", func(t *testing.T) {
-		assert.Less(t, b.p.Share("new", "heavy", 2, calm("ledger"), nil), 0.5)
-		assert.InDelta(t, 1, b.p.Share("new", "heavy", 2, calm("archive"), nil), 0)
-		assert.InDelta(t, 1, b.p.Share("new", "light", 2, calm("ledger"), nil), 0)
+	t.Run("sends images where they do not interfere", func(t *testing.T) {
+		assert.Less(t, s.p.Share("new", "heavy", 2, lowTail("ledger"), nil), 0.5)
+		assert.InDelta(t, 1, s.p.Share("new", "heavy", 2, lowTail("archive"), nil), 0)
+		assert.InDelta(t, 1, s.p.Share("new", "light", 2, lowTail("ledger"), nil), 0)
 	})
-	// Tasks of images that were thought harmless kept starting beside a tail that
-	// one of them raised, and each worked until the next reading.
-	t.Run("sends nothing where a tail is too high", func(t *testing.T) {
+	// Tasks of images considered harmless kept starting next to a tail that one of
+	// them raised, and each ran until the next measurement.
+	t.Run("sends no task where a tail is too high", func(t *testing.T) {
 		hot := []dispatcher.Serving{{Image: "archive", Tail: 1.2, Marked: true}}
-		assert.Zero(t, b.p.Share("new", "light", 2, hot, nil))
+		assert.Zero(t, s.p.Share("new", "light", 2, hot, nil))
 	})
-	t.Run("knows which workers few images may use", func(t *testing.T) {
-		assert.InDelta(t, 0.5, b.p.Burden(calm("ledger")), 0)
-		assert.InDelta(t, 0, b.p.Burden(calm("archive")), 0)
+	t.Run("returns the fraction of interfering images", func(t *testing.T) {
+		assert.InDelta(t, 0.5, s.p.Burden(lowTail("ledger")), 0)
+		assert.InDelta(t, 0, s.p.Burden(lowTail("archive")), 0)
 	})
 	t.Run("is handed on to the next owner", func(t *testing.T) {
 		next := pacer.New()
-		next.Adopt(b.p.Model())
-		assert.InDelta(t, 0.5, next.Rise("ledger", "heavy"), 0.1)
-		assert.Less(t, next.Share("w", "heavy", 2, calm("ledger"), nil), 0.5)
-		assert.InDelta(t, 1, next.Share("w", "heavy", 2, calm("archive"), nil), 0)
+		next.Adopt(s.p.Model())
+		assert.InDelta(t, 0.5, next.RisePerCore("ledger", "heavy"), 0.1)
+		assert.Less(t, next.Share("w", "heavy", 2, lowTail("ledger"), nil), 0.5)
+		assert.InDelta(t, 1, next.Share("w", "heavy", 2, lowTail("archive"), nil), 0)
 	})
-	t.Run("is not replaced by what others know less well", func(t *testing.T) {
-		b.p.Adopt([]briarspring.PressModel{{Serving: "ledger", Pairs: []briarspring.PressPair{{Image: "heavy", Rise: 0, Variance: 0.02}}}})
-		assert.InDelta(t, 0.5, b.p.Rise("ledger", "heavy"), 0.1)
+	t.Run("is not replaced by less precise estimates", func(t *testing.T) {
+		s.p.Adopt([]briarspring.PressModel{{Serving: "ledger", Pairs: []briarspring.PressPair{{Image: "heavy", Rise: 0, Variance: 0.02}}}})
+		assert.InDelta(t, 0.5, s.p.RisePerCore("ledger", "heavy"), 0.1)
 	})
 }
 
 func TestDecide(t *testing.T) {
-	t.Run("slows what presses and leaves the rest", func(t *testing.T) {
-		b := newBench()
-		b.learn()
-		beside := []dispatcher.Filling{filling(1, "heavy", 100), filling(2, "light", 100)}
-		_, paces := b.read("w", "ledger", beside)
+	t.Run("slows only interfering tasks", func(t *testing.T) {
+		s := newSimulation()
+		s.learn()
+		tasks := []dispatcher.Filling{bestEffort(1, "heavy", 100), bestEffort(2, "light", 100)}
+		_, paces := s.measure("w", "ledger", tasks)
 		assert.Len(t, paces, 1)
-		assert.Equal(t, beside[0].Run, paces[0].Run)
+		assert.Equal(t, tasks[0].Run, paces[0].Run)
 		assert.Less(t, paces[0].Percent, 50)
 	})
-	// Nothing that was measured explains the tail, but it must not stay high.
-	t.Run("stops everything beside a tail that stays too high", func(t *testing.T) {
-		b := newBench()
-		b.learn()
-		beside := []dispatcher.Filling{filling(1, "light", 100)}
+	// No measured interference explains the tail, but it must not stay high.
+	t.Run("stops all best-effort tasks while a tail stays too high", func(t *testing.T) {
+		s := newSimulation()
+		s.learn()
+		tasks := []dispatcher.Filling{bestEffort(1, "light", 100)}
 		serving := []dispatcher.Serving{{Image: "ledger", Tail: 1.5, Marked: true}}
 		var paces []dispatcher.Pace
 		for range 4 {
-			b.now += 500 * time.Millisecond
-			paces = b.p.Decide(b.now, "w", serving, beside)
+			s.now += 500 * time.Millisecond
+			paces = s.p.Decide(s.now, "w", serving, tasks)
 		}
-		assert.Equal(t, []dispatcher.Pace{{Run: beside[0].Run, Percent: 0}}, paces)
+		assert.Equal(t, []dispatcher.Pace{{Run: tasks[0].Run, Percent: 0}}, paces)
 	})
 	t.Run("keeps a tail below its target in the long run", func(t *testing.T) {
-		b := newBench()
-		beside := []dispatcher.Filling{filling(1, "heavy", 100), filling(2, "heavy", 100)}
+		s := newSimulation()
+		tasks := []dispatcher.Filling{bestEffort(1, "heavy", 100), bestEffort(2, "heavy", 100)}
 		over := 0
 		for i := range 400 {
-			tail, paces := b.read("w", "ledger", beside)
+			tail, paces := s.measure("w", "ledger", tasks)
 			if tail > 1 && i > 100 {
 				over++
 			}
 			for _, p := range paces {
-				for k := range beside {
-					if beside[k].Run == p.Run {
-						beside[k].Percent, beside[k].Used = p.Percent, 2*float64(p.Percent)/100
+				for k := range tasks {
+					if tasks[k].Run == p.Run {
+						tasks[k].Percent, tasks[k].Used = p.Percent, 2*float64(p.Percent)/100
 					}
 				}
 			}
