--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,6 +1,5 @@
-// Package balancer decides which data centre runs a workflow, when it is
-// accepted and when tasks wait where they can't start. It does no input or
-// output.
+// Package balancer chooses the data centre of a workflow, when it is accepted
+// and later for tasks that can't start where they wait. It does no I/O.
 package balancer
 
 import (
@@ -13,47 +12,47 @@
 )
 
 const (
-	// homeBonus in seconds of backlog keeps workflows in the data centre that
-	// took them, so that no bytes travel for small differences.
+	// homeBonus, in seconds of backlog, favours the data centre that received a
+	// workflow, so that small differences cause no transfers.
 	homeBonus = 0.6
-	// silentOwner is the age of an owner's beat from which its data centre gets
-	// no workflows while others do.
-	silentOwner = 3 * time.Second
-	// lastingLimit is the share of a data centre's processors that lasting tasks
-	// may reserve before others are preferred: urgent ones need the rest.
-	lastingLimit = 0.82
-	// homeRoom in thousandths of a core favours the data centre that took a
-	// workflow over others with as much room for its image.
-	homeRoom = 20000
-	// roomFactor is how many times a task's processors must be free in another
-	// data centre before a waiting task goes there; what is free may be taken
-	// meanwhile.
-	roomFactor = 2
+	// maxHeartbeatAge is the age of an owner's heartbeat above which its data
+	// centre gets no workflows while others are available.
+	maxHeartbeatAge = 3 * time.Second
+	// maxLongRunning is the fraction of a data centre's cores that long-running
+	// tasks may reserve before other data centres are preferred: urgent tasks need
+	// the rest.
+	maxLongRunning = 0.82
+	// homeIdleBonus, in thousandths of a core, favours the data centre that
+	// received a workflow over others with as many idle cores for its image.
+	homeIdleBonus = 20000
+	// freeFactor is the ratio of free cores to the cores needed from which a data
+	// centre counts as having enough: other tasks may take some meanwhile.
+	freeFactor = 2
 )
 
-// Option is a data centre as the choice sees it.
+// Option is the state of a data centre that can be chosen.
 type Option struct {
 	DataCentre string
-	Out        bool             // Operators took it out of service.
+	Out        bool             // Taken out of service by operators.
 	Owned      bool             // It has an owner.
-	BeatAge    time.Duration    // Of the owner's last sign of life.
-	Backlog    float64          // Seconds that all its processors need for what waits.
+	BeatAge    time.Duration    // Age of the owner's last heartbeat.
+	Backlog    float64          // Seconds of work that waits, for all its cores.
 	Free       int64            // Thousandths of a core that are not reserved.
-	Largest    int64            // The same of the worker with most of them.
-	Total      int64            // Thousandths of a core in all.
-	Lasting    int64            // Thousandths of a core that accepted lasting workflows reserve.
-	Rooms      map[string]int64 // Idle thousandths of a core by the image that could use them.
+	Largest    int64            // Free thousandths of a core on the worker with most of them.
+	Total      int64            // Thousandths of a core in total.
+	Lasting    int64            // Thousandths of a core reserved by accepted long-running workflows.
+	Rooms      map[string]int64 // Idle thousandths of a core that best-effort tasks could use, by image.
 }
 
-// serves reports whether the data centre can run work at present.
-func (o *Option) serves() bool { return !o.Out && o.Owned && o.BeatAge <= silentOwner }
+// available reports whether the data centre can run workflows now.
+func (o *Option) available() bool { return !o.Out && o.Owned && o.BeatAge <= maxHeartbeatAge }
 
-// Catalogue tells which data centres are out of service.
+// Catalogue knows which data centres are out of service.
 type Catalogue interface {
 	Out(dataCentre string) bool
 }
 
-// Options returns the data centres as a host knows them.
+// Options returns the state of the data centres in a host's replica.
 func Options(now time.Duration, dataCentres []string, r *registrar.Registry, c Catalogue) []Option {
 	var options []Option
 	for _, name := range dataCentres {
@@ -71,19 +70,19 @@
 	return options
 }
 
-// Choose returns the data centre for a new workflow; empty when all are out of
-// service. Lasting ones of an image go to the same data centre, work that fills
-// goes where its image presses nothing, and the rest stays at home while there
-// is room.
+// Choose returns the data centre for a new workflow, or "" if all are out of
+// service. Long-running workflows of an image go to the same data centre,
+// best-effort ones where their image can use most idle cores, and others stay in
+// the home data centre while it has enough free cores.
 func Choose(home string, w *briarspring.Workflow, options []Option) string {
 	spec := &w.Steps[0]
 	switch {
 	case spec.Lasting && spec.Image != "":
-		if to := chooseLasting(spec, options); to != "" {
+		if to := chooseLongRunning(spec, options); to != "" {
 			return to
 		}
 	case spec.Fills && spec.Image != "":
-		if to := chooseFilling(home, spec, options); to != "" {
+		if to := chooseBestEffort(home, spec, options); to != "" {
 			return to
 		}
 	case !spec.Lasting && !spec.Fills:
@@ -91,20 +90,20 @@
 			return to
 		}
 	}
-	return chooseLeast(home, options)
+	return chooseLeastBacklog(home, options)
 }
 
-// chooseReserved returns the home data centre while it has room for the first
-// step, and else the one with most free processors; empty when none has enough.
-// It answers urgent work that meets a data centre full of lasting tasks.
+// chooseReserved returns the home data centre if it has enough free cores for the
+// first step, else the one with most free cores, or "" if none has enough. It
+// keeps urgent workflows out of a data centre full of long-running tasks.
 func chooseReserved(home string, s *briarspring.Step, options []Option) string {
 	need := int64(s.Tasks) * s.Resources.MilliCPU()
 	best, bestFree := "", int64(0)
 	for _, o := range options {
-		if !o.serves() || o.Largest < s.Resources.MilliCPU() || o.Free < need {
+		if !o.available() || o.Largest < s.Resources.MilliCPU() || o.Free < need {
 			continue
 		}
-		if o.DataCentre == home && o.Free >= roomFactor*need {
+		if o.DataCentre == home && o.Free >= freeFactor*need {
 			return home
 		}
 		if best == "" || o.Free > bestFree {
@@ -114,11 +113,11 @@
 	return best
 }
 
-// chooseLeast returns the data centre with the least backlog, the home one
-// before others that are not much better. It answers bursts that meet one data
-// centre harder than the others, and data centres that are out of service or
-// have lost their owner.
-func chooseLeast(home string, options []Option) string {
+// chooseLeastBacklog returns the data centre with the least backlog, preferring
+// the home one over slightly better ones. It spreads bursts that hit one data
+// centre harder than the others, and avoids data centres that are out of service
+// or have lost their owner.
+func chooseLeastBacklog(home string, options []Option) string {
 	best, bestCost := "", 0.0
 	for _, o := range options {
 		if o.Out {
@@ -128,8 +127,8 @@
 		if o.DataCentre != home {
 			cost += homeBonus
 		}
-		if !o.serves() {
-			cost += silentOwner.Seconds()
+		if !o.available() {
+			cost += maxHeartbeatAge.Seconds()
 		}
 		if best == "" || cost < bestCost {
 			best, bestCost = o.DataCentre, cost
@@ -138,16 +137,16 @@
 	return best
 }
 
-// chooseLasting returns the first data centre with room, in an order that every
-// host finds for the image without asking the others. Images differ in what
-// presses them, so a data centre with few of them has workers for most of what
-// fills. It answers many lasting workflows that are submitted at once to all
-// hosts.
-func chooseLasting(s *briarspring.Step, options []Option) string {
+// chooseLongRunning returns the first data centre with capacity in the image's
+// rendezvous order, so that all hosts choose alike without coordination when many
+// long-running workflows are submitted to them at once. Images differ in which
+// others interfere with them, so a data centre that serves few images has workers
+// for most best-effort ones.
+func chooseLongRunning(s *briarspring.Step, options []Option) string {
 	need := int64(s.Tasks) * s.Resources.MilliCPU()
 	best, bestRank := "", uint64(0)
 	for _, o := range options {
-		if !o.serves() || float64(o.Lasting+need) > lastingLimit*float64(o.Total) {
+		if !o.available() || float64(o.Lasting+need) > maxLongRunning*float64(o.Total) {
 			continue
 		}
 		if rank := xxhash.Sum64String(s.Image + "/" + o.DataCentre); best == "" || rank > bestRank {
@@ -157,46 +156,46 @@
 	return best
 }
 
-// chooseFilling returns the data centre with most room for the image; empty when
-// none tells of any.
-func chooseFilling(home string, s *briarspring.Step, options []Option) string {
-	best, bestRoom := "", int64(0)
+// chooseBestEffort returns the data centre with most idle cores for the image, or
+// "" if none has reported any for it.
+func chooseBestEffort(home string, s *briarspring.Step, options []Option) string {
+	best, bestIdle := "", int64(0)
 	for _, o := range options {
-		room, known := o.Rooms[s.Image]
-		if !o.serves() || !known {
+		idle, known := o.Rooms[s.Image]
+		if !o.available() || !known {
 			continue
 		}
 		if o.DataCentre == home {
-			room += homeRoom
+			idle += homeIdleBonus
 		}
-		if best == "" || room > bestRoom {
-			best, bestRoom = o.DataCentre, room
+		if best == "" || idle > bestIdle {
+			best, bestIdle = o.DataCentre, idle
 		}
 	}
 	return best
 }
 
-// Elsewhere returns the data centre that takes a task which waits at home; empty
-// when none has room for it. Tasks whose processors are reserved need a hole
-// that is large enough.
+// Elsewhere returns another data centre for a task that waits in the home one, or
+// "" if none has enough capacity. A task with reserved cores must fit on a single
+// worker.
 func Elsewhere(home string, s *briarspring.Step, options []Option) string {
-	best, bestRoom := "", int64(0)
+	best, bestFree := "", int64(0)
 	for _, o := range options {
-		if o.DataCentre == home || !o.serves() {
+		if o.DataCentre == home || !o.available() {
 			continue
 		}
 		need := s.Resources.MilliCPU()
-		room := o.Free
+		free := o.Free
 		if s.Fills {
-			room = o.Rooms[s.Image]
+			free = o.Rooms[s.Image]
 		} else if o.Largest < need {
 			continue
 		}
-		if room < roomFactor*need && !s.Fills {
+		if free < freeFactor*need && !s.Fills {
 			continue
 		}
-		if best == "" || room > bestRoom {
-			best, bestRoom = o.DataCentre, room
+		if best == "" || free > bestFree {
+			best, bestFree = o.DataCentre, free
 		}
 	}
 	return best
--- a/learner/learner.go
+++ b/learner/learner.go
@@ -1,17 +1,17 @@
-// Package learner estimates, from measurements that arrive late, how much each
-// class of batch tasks slows each service that runs beside it. It knows no
-// clock and does no I/O.
+// Package learner estimates from delayed measurements how much each class of
+// batch tasks slows each service on the same worker. It reads no clock and does
+// no I/O.
 package learner
 
 import "time"
 
-// Config holds the settings of a Learner.
+// Config holds the settings of a Learner. Zero fields get defaults.
 type Config struct {
-	Rate          float64 // Share of an error that one measurement corrects.
-	MinWeight     float64 // Measurements before an estimate counts in full.
-	Forget        float64 // Share of an estimate kept in each call of Decay.
-	BaselineRate  float64 // Share by which a measurement alone moves the baseline.
-	BaselineDrift float64 // Share by which the baseline rises without one.
+	LearningRate  float64 // Fraction of the prediction error that one measurement corrects.
+	MinWeight     float64 // Number of measurements from which an estimate counts in full.
+	Retention     float64 // Factor applied to estimates by each call of Decay.
+	BaselineRate  float64 // Weight of one measurement in the moving average of the baseline.
+	BaselineDrift float64 // Relative rise per measurement until one without batch tasks.
 }
 
 // Learner holds the estimates of one data centre.
@@ -21,16 +21,16 @@
 }
 
 type service struct {
-	baseline float64 // Tail latency without batch tasks beside it, in seconds.
-	alone    int
-	slopes   map[string]*slope
+	baseline      float64 // Tail latency without batch tasks on the worker, in seconds.
+	baselineCount int     // Measurements without batch tasks.
+	slopes        map[string]*slope
 }
 
-// slope is the rise of a service's tail latency, as a share of its baseline,
-// for each task of one class.
+// slope is the rise of a service's tail latency per task of one class, as a
+// fraction of its baseline.
 type slope struct {
 	value  float64
-	weight float64
+	weight float64 // Number of measurements, decayed.
 }
 
 // New returns a learner without estimates.
@@ -40,23 +40,23 @@
 			*f = value
 		}
 	}
-	set(&c.Rate, 0.3)
+	set(&c.LearningRate, 0.3)
 	set(&c.MinWeight, 3)
-	set(&c.Forget, 0.98)
+	set(&c.Retention, 0.98)
 	set(&c.BaselineRate, 0.1)
 	set(&c.BaselineDrift, 0.002)
 	return &Learner{config: c, services: map[string]*service{}}
 }
 
-// Beside tells how many tasks of a class ran beside an executor when a
-// measurement was taken. Throttled tasks count in part.
+// Beside is the number of tasks of a class that ran on an executor's worker when
+// a measurement was taken. A throttled task counts as a fraction.
 type Beside struct {
 	Class string
 	Tasks float64
 }
 
-// Observe takes one measurement of an executor's tail latency and what ran
-// beside it then. The list must be in order of class.
+// Observe updates the estimates with a measurement of an executor's tail latency
+// and the batch tasks on its worker at that time, which must be sorted by class.
 func (l *Learner) Observe(name string, p99 time.Duration, beside []Beside) {
 	s := l.services[name]
 	if s == nil {
@@ -70,18 +70,19 @@
 	s.observeBeside(p99.Seconds(), beside, l.config)
 }
 
+// observeAlone updates the baseline from a measurement without batch tasks.
 func (s *service) observeAlone(p99 float64, c Config) {
-	s.alone++
-	rate := max(c.BaselineRate, 1/float64(s.alone))
+	s.baselineCount++
+	rate := max(c.BaselineRate, 1/float64(s.baselineCount))
 	s.baseline += rate * (p99 - s.baseline)
 }
 
-// observeBeside corrects the slopes of the classes beside the executor, in
+// observeBeside corrects the slopes of the classes on the executor's worker, in
 // proportion to their tasks (normalized least mean squares).
 func (s *service) observeBeside(p99 float64, beside []Beside, c Config) {
 	if p99 < s.baseline {
 		s.baseline += c.BaselineRate * (p99 - s.baseline)
-	} else if s.alone == 0 {
+	} else if s.baselineCount == 0 {
 		s.baseline *= 1 + c.BaselineDrift
 	}
 	if s.baseline <= 0 {
@@ -95,10 +96,10 @@
 	if norm == 0 {
 		return
 	}
-	miss := max(p99/s.baseline-1, 0) - predicted
+	residual := max(p99/s.baseline-1, 0) - predicted
 	for _, b := range beside {
 		k := s.slope(b.Class)
-		k.value = max(0, k.value+c.Rate*miss*b.Tasks/norm)
+		k.value = max(0, k.value+c.LearningRate*residual*b.Tasks/norm)
 		k.weight++
 	}
 }
@@ -112,8 +113,9 @@
 	return k
 }
 
-// Slowdown returns the share by which one task of the class raises the tail
-// latency of the service; less than measured while there are few measurements.
+// Slowdown returns the relative increase of the service's tail latency that one
+// task of the class causes. The estimate is scaled down while it rests on less
+// than MinWeight measurements.
 func (l *Learner) Slowdown(name, class string) float64 {
 	s := l.services[name]
 	if s == nil {
@@ -135,12 +137,13 @@
 	return p99.Seconds() / s.baseline
 }
 
-// Decay lets estimates fade, so that a pair that was avoided is tried again.
+// Decay reduces all estimates, so that a pair of service and class that the placer
+// avoids is tried again.
 func (l *Learner) Decay() {
 	for _, s := range l.services {
 		for _, k := range s.slopes {
-			k.value *= l.config.Forget
-			k.weight *= l.config.Forget
+			k.value *= l.config.Retention
+			k.weight *= l.config.Retention
 		}
 	}
 }
--- a/learner/learner_test.go
+++ b/learner/learner_test.go
@@ -13,8 +13,8 @@
 	return []learner.Beside{{Class: class, Tasks: n}}
 }
 
-// observe feeds measurements of a service of 20 ms whose tail one noisy task
-// raises by half.
+// observe feeds measurements of a service with a tail of 20 ms, which each noisy
+// task raises by half.
 func observe(l *learner.Learner, rounds int) {
 	for range rounds {
 		l.Observe("ledger", 20*time.Millisecond, nil)
