--- a/placer/placer.go
+++ b/placer/placer.go
@@ -197,6 +197,7 @@
 	})
 }
 
+// recordWait records that the task stays in the queue, with the reason.
 func (r *Round) recordWait(t Task, reason string) {
 	r.decisions = append(r.decisions, Decision{
 		Kind: KindWait, Attempt: t.Attempt(), Name: t.Name, Reason: reason,
