--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -176,8 +176,9 @@
 }
 
 // Elsewhere returns another data centre for a task that waits in the home one, or
-// "" if none has enough capacity. A task with reserved cores must fit on a single
-// worker.
+// "" if there is none. A task with reserved cores needs freeFactor times its cores
+// free there and must fit on a single worker; a best-effort task goes where its
+// image can use most idle cores.
 func Elsewhere(home string, s *briarspring.Step, options []Option) string {
 	best, bestFree := "", int64(0)
 	for _, o := range options {
