--- a/admitter/patience.go
+++ b/admitter/patience.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// leastRetry is what callers are told at first while the log is out of reach:
-	// another host may reach it, and tries go to other hosts.
-	leastRetry = time.Second
-	// mostRetry bounds the time, so that callers come back soon after an outage.
-	mostRetry = 5 * time.Second
-	// retryShare of the time for which the log has been out of reach: an outage that
-	// has lasted for some time is expected to last about as long again.
-	retryShare = 0.5
+	// minRetryAfter is short, as another host may reach the log, and callers retry
+	// at other hosts.
+	minRetryAfter = time.Second
+	// maxRetryAfter limits the delay, so that callers return soon after an outage.
+	maxRetryAfter = 5 * time.Second
+	// retryAgeFactor is the delay as a fraction of the age of the shared state: an
+	// outage that has lasted for some time is expected to last about as long again.
+	retryAgeFactor = 0.5
 )
 
-// retryAfter returns when a refused caller should try again, by the age of the
-// shared state. It answers outages of the log of several seconds: with a constant
-// second, callers had used up their tries before the log was back.
+// retryAfter returns the delay after which a refused caller should retry, which
+// grows with the age of the shared state. With a constant delay of 1 s, callers
+// used up their attempts before the log returned from outages of several seconds.
 func retryAfter(age time.Duration) time.Duration {
-	return min(max(leastRetry, time.Duration(retryShare*float64(age))), mostRetry)
+	return min(max(minRetryAfter, time.Duration(retryAgeFactor*float64(age))), maxRetryAfter)
 }
