--- a/claimer/claimer.go
+++ b/claimer/claimer.go
@@ -1,10 +1,11 @@
-// Package claimer decides when a host claims a data centre's workers. It does
-// no input or output.
+// Package claimer decides when a host claims ownership of a data centre's
+// workers. It does no I/O.
 //
-// It answers owners that die, freeze, stop or lose the log: hosts of the data
-// centre claim it after a short silence, hosts of others after a longer one,
-// and a host of the data centre takes it back. Where hosts differ much in size,
-// small ones leave data centres to large ones, also to those of others.
+// It handles owners that crash, freeze, stop or lose access to the log: hosts
+// in the data centre claim it after a short silence, hosts in other data
+// centres after a longer one, and a host in the data centre later reclaims it.
+// Where host sizes differ widely, small hosts yield to large ones, including
+// those in other data centres.
 package claimer
 
 import (
@@ -13,81 +14,89 @@
 )
 
 const (
-	// localSilence of an owner lets hosts of its data centre claim. A beat is due
-	// every 0.4 s; what a slow log adds is counted apart.
+	// localSilence is the owner's silence after which hosts in its data centre
+	// claim it. A heartbeat is due every 0.4 s; the delay of a slow log is allowed
+	// for separately, see beatStoreCalls.
 	localSilence = 1800 * time.Millisecond
-	// beatCalls is how many calls to the log a beat may be late for.
-	beatCalls = 4
-	// remoteSilence lets hosts of other data centres claim, after all local ones
-	// could claim and before leases of 5.5 s lapse.
+	// beatStoreCalls is the number of store calls by which a heartbeat may be
+	// late.
+	beatStoreCalls = 4
+	// remoteSilence is the silence after which hosts in other data centres claim:
+	// after every local host had its chance and before leases of 5.5 s expire.
 	remoteSilence = 3600 * time.Millisecond
-	// spread of claims over hosts, so that few claim at once.
-	spread = 600 * time.Millisecond
-	// startSpread is the same for a data centre without an owner.
-	startSpread = 120 * time.Millisecond
-	// retryAfter a claim that was not read back.
-	retryAfter = 1500 * time.Millisecond
-	// returnAfter is how long a host must have read the log without a gap before
-	// it takes its data centre back from another one's host.
-	returnAfter = 2500 * time.Millisecond
-	// strongRemoteDelay after localSilence lets large hosts of other data centres
-	// claim, before small local ones, which can't renew the leases of a hundred
-	// workers.
-	strongRemoteDelay = 900 * time.Millisecond
-	// strongRemoteWait is the same for a data centre without an owner; a large local
-	// host that begins a new life is back within that time or not soon.
-	strongRemoteWait = 500 * time.Millisecond
-	// weakWait of a small host for a data centre without an owner.
-	weakWait = 1500 * time.Millisecond
-	// shares is the number of different delays that names of hosts give.
-	shares = 16
-	// maxReadAge of the state on which a claim may be based.
+	// claimSpread staggers the claims of different hosts, so that few claim at
+	// once.
+	claimSpread = 600 * time.Millisecond
+	// vacantSpread does the same for a data centre without an owner.
+	vacantSpread = 120 * time.Millisecond
+	// claimRetryDelay is the time before a claim that was not read back is
+	// repeated.
+	claimRetryDelay = 1500 * time.Millisecond
+	// reclaimAfter is how long a host must have read the log without a gap before
+	// it reclaims its data centre from a host elsewhere.
+	reclaimAfter = 2500 * time.Millisecond
+	// largeRemoteDelay is added to localSilence for large hosts in other data
+	// centres. They claim before small local hosts, which can't renew the leases
+	// of a hundred workers.
+	largeRemoteDelay = 900 * time.Millisecond
+	// vacantLargeRemoteDelay is the delay of large hosts in other data centres
+	// when there is no owner. A large local host that restarts is back within that
+	// time or not soon.
+	vacantLargeRemoteDelay = 500 * time.Millisecond
+	// vacantSmallLocalDelay is the delay of a small local host when there is no
+	// owner.
+	vacantSmallLocalDelay = 1500 * time.Millisecond
+	// staggerSteps is the number of distinct delays that host names map to.
+	staggerSteps = 16
+	// maxReadAge bounds the age of the state that a claim may be based on.
 	maxReadAge = 400 * time.Millisecond
 )
 
-// Situation is what a host knows when it decides.
+// Situation is the input of a host's decision.
 type Situation struct {
 	Now         time.Duration
 	Host        string
 	Local       bool // The host is in the data centre.
-	Weak        bool // Hosts that are much larger are known.
-	Mixed       bool // Hosts of very different sizes are known.
+	Weak        bool // Much larger hosts than this one are known.
+	Mixed       bool // Known hosts differ widely in size.
 	Owner       string
 	Token       uint64        // Of the claim in force; zero when there never was one.
 	OwnerLocal  bool          // The owner is in the data centre.
-	OwnerWeak   bool          // Hosts that are much larger than the owner are known.
-	LastBeat    time.Duration // When the owner's last sign of life was read.
+	OwnerWeak   bool          // Much larger hosts than the owner are known.
+	LastBeat    time.Duration // When the owner's last heartbeat was read.
 	ClaimedAt   time.Duration // When the claim in force was read.
 	LastRead    time.Duration // When the last successful read was sent.
-	ReadSince   time.Duration // Since when reads succeed without a gap.
+	ReadSince   time.Duration // Since when every read has succeeded.
 	StoreDelay  time.Duration // How long the log takes to answer.
 	LastAttempt time.Duration // When this host last claimed; zero for never.
-	Restarted   bool          // The owner's process has begun a new life.
+	Restarted   bool          // The owner's process has restarted.
 }
 
-// ShouldClaim reports whether the host claims now, and why.
+// ShouldClaim reports whether the host should claim now, and why.
 func ShouldClaim(s Situation) (bool, string) {
 	if s.Now-s.LastRead > maxReadAge {
 		return false, ""
 	}
-	if s.LastAttempt != 0 && s.Now-s.LastAttempt < retryAfter {
+	if s.LastAttempt != 0 && s.Now-s.LastAttempt < claimRetryDelay {
 		return false, ""
 	}
-	// Hosts of the data centre come first after a restart, too.
+	// A restarted owner makes the data centre vacant for local hosts only, which
+	// gives them precedence.
 	vacant := s.Token == 0 || s.Owner == "" || s.Restarted && s.Local
 	if vacant {
-		return vacantClaim(s)
+		return shouldClaimVacant(s)
 	}
-	// A beat goes through two calls, and waits for the one before it. While the log
-	// could not be read nobody could beat.
-	silence := s.LastRead - max(s.LastBeat, s.ClaimedAt, s.ReadSince) - beatCalls*s.StoreDelay
-	if silence > patience(s)+share(s.Host, spread) {
+	// A heartbeat takes two calls and waits for the previous one. Time during
+	// which the log was unreadable doesn't count, since no owner could send
+	// heartbeats.
+	silence := s.LastRead - max(s.LastBeat, s.ClaimedAt, s.ReadSince) - beatStoreCalls*s.StoreDelay
+	if silence > requiredSilence(s)+stagger(s.Host, claimSpread) {
 		if s.Local {
 			return true, "the owner is silent"
 		}
-		return true, "the owner is silent and no host of its data centre claims"
+		return true, "the owner is silent and no host in its data centre has claimed"
 	}
-	if !s.Local || s.Weak || s.Now-s.ReadSince <= returnAfter+share(s.Host, spread) {
+	if !s.Local || s.Weak || s.Now-s.ReadSince <= reclaimAfter+stagger(s.Host, claimSpread) {
 		return false, ""
 	}
 	switch {
@@ -99,50 +108,50 @@
 	return false, ""
 }
 
-// patience returns the silence of an owner after which a host may claim.
-func patience(s Situation) time.Duration {
+// requiredSilence returns the owner's silence after which a host may claim.
+func requiredSilence(s Situation) time.Duration {
 	switch {
 	case s.Local && !s.Weak:
 		return localSilence
 	case s.Mixed && !s.Weak:
-		return localSilence + strongRemoteDelay
+		return localSilence + largeRemoteDelay
 	case s.Local || !s.Weak:
 		return remoteSilence
 	}
-	return remoteSilence + spread
+	return remoteSilence + claimSpread
 }
 
-// vacantClaim decides about a data centre that certainly has no owner.
-func vacantClaim(s Situation) (bool, string) {
+// shouldClaimVacant decides on a data centre that certainly has no owner.
+func shouldClaimVacant(s Situation) (bool, string) {
 	since := s.Now - max(s.ReadSince, s.ClaimedAt)
 	if s.Restarted {
 		since = s.Now - s.ReadSince
 	}
-	if since >= vacantWait(s) {
+	if since >= vacantDelay(s) {
 		return true, "there is no owner"
 	}
 	return false, ""
 }
 
-// vacantWait returns how long a host leaves a data centre without an owner to
-// others.
-func vacantWait(s Situation) time.Duration {
+// vacantDelay returns how long a host waits for others to claim a data centre
+// without an owner.
+func vacantDelay(s Situation) time.Duration {
 	switch {
 	case s.Local && !s.Weak:
-		return share(s.Host, startSpread)
+		return stagger(s.Host, vacantSpread)
 	case s.Mixed && !s.Weak:
-		return strongRemoteWait + share(s.Host, startSpread)
+		return vacantLargeRemoteDelay + stagger(s.Host, vacantSpread)
 	case s.Local:
-		return weakWait + share(s.Host, spread)
+		return vacantSmallLocalDelay + stagger(s.Host, claimSpread)
 	case s.Weak:
-		return remoteSilence + spread + share(s.Host, spread)
+		return remoteSilence + claimSpread + stagger(s.Host, claimSpread)
 	}
-	return remoteSilence + share(s.Host, spread)
+	return remoteSilence + stagger(s.Host, claimSpread)
 }
 
-// share returns a part of d that depends on the host's name alone.
-func share(host string, d time.Duration) time.Duration {
+// stagger returns a fraction of d that depends only on the host's name.
+func stagger(host string, d time.Duration) time.Duration {
 	h := fnv.New32a()
 	h.Write([]byte(host))
-	return d * time.Duration(h.Sum32()%shares) / shares
+	return d * time.Duration(h.Sum32()%staggerSteps) / staggerSteps
 }
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -11,7 +11,7 @@
 
 const second = time.Second
 
-// healthy is a host that follows the log beside an owner that beats.
+// healthy returns a host that follows the log while the owner sends heartbeats.
 func healthy(now time.Duration) claimer.Situation {
 	return claimer.Situation{
 		Now: now, Host: "host-1", Local: true, Owner: "host-2", Token: 9, OwnerLocal: true,
@@ -26,7 +26,7 @@
 }
 
 func TestShouldClaim(t *testing.T) {
-	t.Run("not while the owner beats", func(t *testing.T) { assertClaims(t, false, healthy(60*second)) })
+	t.Run("not while the owner sends heartbeats", func(t *testing.T) { assertClaims(t, false, healthy(60*second)) })
 	t.Run("when the owner is silent", func(t *testing.T) {
 		s := healthy(60 * second)
 		s.LastBeat = s.Now - 3*second
@@ -40,25 +40,26 @@
 		s.LastBeat = s.Now - 5*second
 		assertClaims(t, true, s)
 	})
-	t.Run("not on what was read long ago", func(t *testing.T) {
+	t.Run("not on a stale read", func(t *testing.T) {
 		s := healthy(60 * second)
 		s.LastBeat, s.LastRead = s.Now-5*second, s.Now-second
 		assertClaims(t, false, s)
 	})
-	// A log that is 75 times slower delays beats, and every takeover costs a
-	// barrier; rolling stops through it changed owners four times in a data centre.
+	// A log slowed down 75 times delays heartbeats, and every takeover costs a
+	// barrier. Rolling stops under such a log changed the owner of one data centre
+	// four times.
 	t.Run("not because the log is slow", func(t *testing.T) {
 		s := healthy(60 * second)
 		s.LastBeat, s.StoreDelay = s.Now-2600*time.Millisecond, 350*time.Millisecond
 		assertClaims(t, false, s)
 	})
-	// After an outage of the log every host claimed every data centre at once.
-	t.Run("not because nobody could beat", func(t *testing.T) {
+	// After an outage of the log, every host claimed every data centre at once.
+	t.Run("not because the log was unreadable", func(t *testing.T) {
 		s := healthy(60 * second)
 		s.LastBeat, s.ReadSince = s.Now-6*second, s.Now-second
 		assertClaims(t, false, s)
 	})
-	t.Run("soon when the owner's process began a new life", func(t *testing.T) {
+	t.Run("soon when the owner's process restarted", func(t *testing.T) {
 		s := healthy(60 * second)
 		s.Restarted = true
 		assertClaims(t, true, s)
@@ -72,16 +73,16 @@
 		s.ReadSince = s.Now - second
 		assertClaims(t, false, s)
 	})
-	t.Run("not again before the last try can have been read", func(t *testing.T) {
+	t.Run("not again before the last attempt can have been read", func(t *testing.T) {
 		s := healthy(60 * second)
 		s.LastBeat, s.LastAttempt = s.Now-5*second, s.Now-second
 		assertClaims(t, false, s)
 	})
 }
 
-// In deployments with a few large hosts and many small ones, small hosts took
-// data centres over that large ones had just given up, and could not renew the
-// leases of their workers.
+// With a few large hosts and many small ones, small hosts took over data
+// centres that large ones had just given up, and could not renew the leases of
+// their workers.
 func TestSmallHosts(t *testing.T) {
 	small := func(s claimer.Situation) claimer.Situation {
 		s.Weak, s.Mixed = true, true
@@ -100,7 +101,7 @@
 		s.Local, s.OwnerLocal = false, false
 		return s
 	}
-	t.Run("leave a data centre without an owner to large ones, also of others", func(t *testing.T) {
+	t.Run("leave a vacant data centre to large ones, also remote ones", func(t *testing.T) {
 		assertClaims(t, true, large(vacant(200*time.Millisecond)))
 		assertClaims(t, false, small(vacant(time.Second)))
 		assertClaims(t, false, elsewhere(large(vacant(200*time.Millisecond))))
@@ -117,20 +118,20 @@
 		assertClaims(t, true, small(s))
 		assertClaims(t, false, elsewhere(small(s)))
 	})
-	t.Run("are replaced by a large one of the data centre", func(t *testing.T) {
+	t.Run("are replaced by a large local one", func(t *testing.T) {
 		s := healthy(60 * second)
 		s.OwnerWeak = true
 		assertClaims(t, true, large(s))
 		assertClaims(t, false, small(s))
 		assertClaims(t, false, elsewhere(large(s)))
 	})
-	t.Run("do not take back from a large one elsewhere", func(t *testing.T) {
+	t.Run("do not reclaim from a large one elsewhere", func(t *testing.T) {
 		s := healthy(60 * second)
 		s.OwnerLocal = false
 		assertClaims(t, true, large(s))
 		assertClaims(t, false, small(s))
 	})
-	t.Run("take nothing from others where all are alike", func(t *testing.T) {
+	t.Run("wait as remote hosts where all hosts are of one size", func(t *testing.T) {
 		assertClaims(t, false, elsewhere(vacant(700*time.Millisecond)))
 		assertClaims(t, true, elsewhere(vacant(4300*time.Millisecond)))
 	})
--- a/registrar/key.go
+++ b/registrar/key.go
@@ -21,36 +21,36 @@
 	prefixModel      = "p/"
 )
 
-// SubmissionKey returns the key of one try to submit a workflow.
-func SubmissionKey(id briarspring.WorkflowID, try string) string {
-	return prefixSubmission + string(id) + "/" + try
+// SubmissionKey returns the key of one attempt to submit a workflow.
+func SubmissionKey(id briarspring.WorkflowID, attempt string) string {
+	return prefixSubmission + string(id) + "/" + attempt
 }
 
 // CancelKey returns the key of a workflow's cancellation.
 func CancelKey(id briarspring.WorkflowID) string { return prefixCancel + string(id) }
 
-// RunningKey returns the key of the mark that a workflow has started.
+// RunningKey returns the key of the record that a workflow has started.
 func RunningKey(id briarspring.WorkflowID) string { return prefixRunning + string(id) }
 
 // FinalKey returns the key of a workflow's final phase.
 func FinalKey(id briarspring.WorkflowID) string { return prefixFinal + string(id) }
 
-// TransferKey returns the key of one try to record a transfer of a workflow's
-// tasks; number tells the transfers of one token apart.
-func TransferKey(id briarspring.WorkflowID, token uint64, number int, try string) string {
-	return prefixTransfer + string(id) + "/" + strconv.FormatUint(token, 10) + "." + strconv.Itoa(number) + "/" + try
+// TransferKey returns the key of one attempt to record a transfer of a
+// workflow's tasks; number distinguishes the transfers under one token.
+func TransferKey(id briarspring.WorkflowID, token uint64, number int, attempt string) string {
+	return prefixTransfer + string(id) + "/" + strconv.FormatUint(token, 10) + "." + strconv.Itoa(number) + "/" + attempt
 }
 
-// ClaimKey returns the key of one try to claim a data centre.
-func ClaimKey(dataCentre, try string) string { return prefixClaim + dataCentre + "/" + try }
+// ClaimKey returns the key of one attempt to claim a data centre.
+func ClaimKey(dataCentre, attempt string) string { return prefixClaim + dataCentre + "/" + attempt }
 
-// NewTry returns a name for one append of a record whose place in the stream
-// decides its effect. A store keeps the newest record of a key only, so a record
-// that is appended again under the same key would seem to stand where the last
-// try does.
+// NewTry returns a unique key suffix for one append of a record whose effect
+// depends on its offset. The store keeps only the newest record of each key, so
+// a record appended again under the same key would appear at the offset of the
+// last append.
 func NewTry() string { return strconv.FormatUint(rand.Uint64(), 36) }
 
-// BeatKey returns the key of the sign of life of a data centre's owner.
+// BeatKey returns the key of the heartbeat of a data centre's owner.
 func BeatKey(dataCentre string) string { return prefixBeat + dataCentre }
 
 // HostKey returns the key of a host's presence.
@@ -61,5 +61,6 @@
 	return prefixRetire + dataCentre + "/" + strconv.FormatUint(token, 10)
 }
 
-// ModelKey returns the key of what a data centre's owner has learned.
+// ModelKey returns the key of the interference models that a data centre's
+// owner has learned.
 func ModelKey(dataCentre string) string { return prefixModel + dataCentre }
--- a/registrar/owner.go
+++ b/registrar/owner.go
@@ -13,12 +13,12 @@
 // Claim is a claim that is in force.
 type Claim struct {
 	Token       uint64
-	Previous    uint64 // Token of the claim that it followed.
-	Owner       string // Empty when the data centre was given up.
+	Previous    uint64 // Token of the claim that it replaced.
+	Owner       string // Empty when the owner gave up the data centre.
 	Incarnation int64
 }
 
-// Beat is an owner's last sign of life.
+// Beat is an owner's last heartbeat.
 type Beat struct {
 	Content briarspring.OwnerBeat
 	At      time.Duration // When it was read.
@@ -29,32 +29,34 @@
 	claim      Claim
 	replacedAt time.Duration // When the claim that replaced it was read.
 	gone       bool          // Its owner gives no more orders under it.
-	goneAt     time.Duration // When that was read.
+	goneAt     time.Duration // When the record that showed this was read.
 }
 
-// maxPast bounds the replaced claims that are remembered of a data centre. The
-// oldest are long over when it is reached.
-const maxPast = 64
+// maxPastClaims bounds the replaced claims kept for each data centre. By the
+// time it is reached, the oldest have long ended.
+const maxPastClaims = 64
 
-// owners is the state of the claims to one data centre.
-type owners struct {
+// ownership holds the claims to one data centre.
+type ownership struct {
 	claim  Claim
 	past   []pastClaim
 	beat   Beat
 	silent silentWorkers
 }
 
-// silentWorkers did not answer the owner under a token when it retired.
+// silentWorkers holds the workers that did not answer the owner with this token
+// when it retired.
 type silentWorkers struct {
-	token  uint64
-	lapses map[string]time.Duration // When their leases have ended.
+	token     uint64
+	leaseEnds map[string]time.Duration // By worker: when its lease has expired.
 }
 
-// of returns the state of a data centre's claims.
-func (r *Registry) of(dataCentre string) *owners {
+// ownershipOf returns the claims to a data centre; it creates an empty entry
+// when there is none.
+func (r *Registry) ownershipOf(dataCentre string) *ownership {
 	o := r.owners[dataCentre]
 	if o == nil {
-		o = &owners{}
+		o = &ownership{}
 		r.owners[dataCentre] = o
 	}
 	return o
@@ -62,19 +64,19 @@
 
 // Claim returns the claim in force for a data centre; its token is zero when
 // there is none.
-func (r *Registry) Claim(dataCentre string) Claim { return r.of(dataCentre).claim }
+func (r *Registry) Claim(dataCentre string) Claim { return r.ownershipOf(dataCentre).claim }
 
-// Beat returns the last sign of life of the owner in force.
-func (r *Registry) Beat(dataCentre string) Beat { return r.of(dataCentre).beat }
+// Beat returns the last heartbeat of the current owner.
+func (r *Registry) Beat(dataCentre string) Beat { return r.ownershipOf(dataCentre).beat }
 
-// Host returns the last presence of a host.
+// Host returns the last presence record of a host.
 func (r *Registry) Host(name string) (briarspring.HostPresence, bool) {
 	p, ok := r.hosts[name]
 	return p, ok
 }
 
-// HostSizes returns the processors of the smallest and the largest host that is
-// known, in thousandths of a core; zero when none is.
+// HostSizes returns the processors of the smallest and the largest known host,
+// in thousandths of a core, or zeros when no host is known.
 func (r *Registry) HostSizes() (least, most int) {
 	for _, p := range r.hosts {
 		if least == 0 || p.MilliCPU < least {
@@ -85,12 +87,12 @@
 	return least, most
 }
 
-// EarlierGone returns when it was known that no earlier owner of a data centre
-// gives orders any more; false while that is not known. An owner that can't
-// read the log gives none after maxUnreachable.
+// EarlierGone returns when it became certain that no earlier owner of a data
+// centre still gives orders, and false while it is not certain. An owner that
+// can't read the log stops giving orders after maxUnreachable.
 func (r *Registry) EarlierGone(now, maxUnreachable time.Duration, dataCentre string) (time.Duration, bool) {
 	var last time.Duration
-	for _, p := range r.of(dataCentre).past {
+	for _, p := range r.ownershipOf(dataCentre).past {
 		at := p.goneAt
 		if !p.gone {
 			at = p.replacedAt + maxUnreachable
@@ -103,41 +105,43 @@
 	return last, true
 }
 
-// Silent returns the workers that did not answer the last owner before the one
-// in force, and when their leases have certainly ended.
+// Silent returns the workers that did not answer the previous owner when it
+// retired, and when their leases have certainly expired.
 func (r *Registry) Silent(dataCentre string) map[string]time.Duration {
-	o := r.of(dataCentre)
+	o := r.ownershipOf(dataCentre)
 	for _, p := range slices.Backward(o.past) {
 		if p.claim.Owner == "" {
 			continue
 		}
 		if p.claim.Token == o.silent.token {
-			return o.silent.lapses
+			return o.silent.leaseEnds
 		}
 		return nil
 	}
 	return nil
 }
 
-// applyClaim puts a claim in force that follows the present one.
+// applyClaim replaces the claim in force by one that names it as its
+// predecessor, and ignores any other.
 func (r *Registry) applyClaim(now time.Duration, rec briarspring.KeyedRecord) (Change, error) {
 	c, err := encoder.DecodeDataCentreClaim(rec.Value)
 	if err != nil {
 		return Change{}, err
 	}
-	o := r.of(c.DataCentre)
+	o := r.ownershipOf(c.DataCentre)
 	if o.claim.Token != c.Previous {
 		return Change{}, nil
 	}
 	if o.claim.Token != 0 {
 		p := pastClaim{claim: o.claim, replacedAt: now}
-		// A process claims anew, or gives up, only after its earlier term has ended.
+		// A process claims again, or gives up a data centre, only after its earlier
+		// ownership has ended.
 		own := c.Owner == "" || c.Owner == o.claim.Owner && c.Incarnation == o.claim.Incarnation
 		if own || o.claim.Owner == "" || r.hosts[o.claim.Owner].Incarnation > o.claim.Incarnation {
 			p.gone, p.goneAt = true, now
 		}
 		o.past = append(o.past, p)
-		o.past = o.past[max(0, len(o.past)-maxPast):]
+		o.past = o.past[max(0, len(o.past)-maxPastClaims):]
 	}
 	o.claim = Claim{Token: rec.Offset + 1, Previous: c.Previous, Owner: c.Owner, Incarnation: c.Incarnation}
 	return Change{DataCentre: c.DataCentre}, nil
@@ -145,13 +149,14 @@
 
 func (r *Registry) applyBeat(now time.Duration, dataCentre string, rec briarspring.KeyedRecord) error {
 	b, err := encoder.DecodeOwnerBeat(rec.Value)
-	if o := r.of(dataCentre); err == nil && b.Token == o.claim.Token {
+	if o := r.ownershipOf(dataCentre); err == nil && b.Token == o.claim.Token {
 		o.beat = Beat{Content: b, At: now}
 	}
 	return err
 }
 
-// applyHost notes a life of a process; what it owned in earlier ones is over.
+// applyHost records the incarnation of a host's process and ends the claims of
+// its earlier incarnations.
 func (r *Registry) applyHost(now time.Duration, name string, rec briarspring.KeyedRecord) error {
 	presence, err := encoder.DecodeHostPresence(rec.Value)
 	if err != nil {
@@ -169,7 +174,7 @@
 	return nil
 }
 
-// applyRetirement notes that an owner gives no more orders.
+// applyRetirement records that an owner gives no more orders.
 func (r *Registry) applyRetirement(now time.Duration, rest string, rec briarspring.KeyedRecord) error {
 	m, err := encoder.DecodeRetirement(rec.Value)
 	if err != nil {
@@ -180,11 +185,11 @@
 	if err != nil {
 		return &encoder.MalformedError{What: "retirement", Cause: err}
 	}
-	o := r.of(dataCentre)
+	o := r.ownershipOf(dataCentre)
 	if token > o.silent.token {
-		o.silent = silentWorkers{token: token, lapses: map[string]time.Duration{}}
+		o.silent = silentWorkers{token: token, leaseEnds: map[string]time.Duration{}}
 		for _, w := range m.Silent {
-			o.silent.lapses[w.Worker] = now + w.LeaseLeft
+			o.silent.leaseEnds[w.Worker] = now + w.LeaseLeft
 		}
 	}
 	for i := range o.past {
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -1,6 +1,6 @@
-// Package registrar holds what every host knows of workflows, owners and hosts.
-// It is built from the shared stream alone and does no input or output: the
-// same records in the same order give the same state on every host.
+// Package registrar holds the replicated state of workflows, owners and hosts.
+// It is built from the shared stream alone and does no I/O: the same records in
+// the same order give the same state on every host.
 package registrar
 
 import (
@@ -14,7 +14,7 @@
 	"briarspring/encoder"
 )
 
-// Entry is what the registry knows of a workflow.
+// Entry is the registry's state of one workflow.
 type Entry struct {
 	workflow  *briarspring.Workflow
 	offset    uint64
@@ -22,24 +22,25 @@
 	cancelled bool
 	finalAt   time.Duration
 	moved     map[int]Moved
-	keys      []string        // Of its submissions and transfers.
-	transfers map[string]bool // That were applied, by token and number.
+	keys      []string        // Keys of its submission and transfer records.
+	transfers map[string]bool // Applied transfers, by token and number.
 }
 
-// Moved is where a transferred task went and what it brought along.
+// Moved is the data centre that a task was transferred to, and the progress
+// that was transferred with it.
 type Moved struct {
 	To       string
 	Progress briarspring.TaskProgress
-	Count    int // Transfers of the task so far.
+	Count    int // Number of the task's transfers so far.
 }
 
 // Workflow returns the workflow as it was accepted.
 func (e *Entry) Workflow() *briarspring.Workflow { return e.workflow }
 
-// Offset returns the offset of the submission that is in force.
+// Offset returns the offset of the submission that was accepted.
 func (e *Entry) Offset() uint64 { return e.offset }
 
-// Phase returns how far the workflow has come.
+// Phase returns the workflow's phase.
 func (e *Entry) Phase() briarspring.Phase {
 	if !e.phase.Final() && e.cancelled {
 		return briarspring.PhaseCancelled
@@ -61,40 +62,40 @@
 	return e.workflow.DataCentre
 }
 
-// Change tells which workflow or data centre a record changed.
+// Change names the workflow or data centre that a record changed.
 type Change struct {
 	Workflow   briarspring.WorkflowID
-	DataCentre string // Whose claim changed.
+	DataCentre string // Data centre with a new claim.
 }
 
-// Registry is the state of the shared stream.
+// Registry is the state built from the shared stream.
 type Registry struct {
-	applied   uint64 // Offset that follows the last applied record.
-	workflows map[briarspring.WorkflowID]*Entry
-	owners    map[string]*owners // By data centre.
-	hosts     map[string]briarspring.HostPresence
-	waiting   map[string]int                      // By queue.
-	lasting   map[string]int64                    // By data centre; see Lasting.
-	models    map[string][]briarspring.PressModel // By data centre.
+	applied     uint64 // Offset after the last applied record.
+	workflows   map[briarspring.WorkflowID]*Entry
+	owners      map[string]*ownership // By data centre.
+	hosts       map[string]briarspring.HostPresence
+	waiting     map[string]int                      // By queue.
+	longRunning map[string]int64                    // By data centre; see Lasting.
+	models      map[string][]briarspring.PressModel // By data centre.
 }
 
 // New returns the state before the first record.
 func New() *Registry {
 	return &Registry{
-		workflows: map[briarspring.WorkflowID]*Entry{},
-		owners:    map[string]*owners{},
-		hosts:     map[string]briarspring.HostPresence{},
-		waiting:   map[string]int{},
-		lasting:   map[string]int64{},
-		models:    map[string][]briarspring.PressModel{},
+		workflows:   map[briarspring.WorkflowID]*Entry{},
+		owners:      map[string]*ownership{},
+		hosts:       map[string]briarspring.HostPresence{},
+		waiting:     map[string]int{},
+		longRunning: map[string]int64{},
+		models:      map[string][]briarspring.PressModel{},
 	}
 }
 
-// Applied returns the offset that follows the last applied record.
+// Applied returns the offset after the last applied record.
 func (r *Registry) Applied() uint64 { return r.applied }
 
-// Workflow returns what is known of a workflow, or nil before its submission
-// was read.
+// Workflow returns the entry of a workflow, or nil before its submission was
+// read.
 func (r *Registry) Workflow(id briarspring.WorkflowID) *Entry {
 	if e := r.workflows[id]; e != nil && e.workflow != nil {
 		return e
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// Workflows calls f for every workflow.
+// Workflows calls f for every submitted workflow.
 func (r *Registry) Workflows(f func(*Entry)) {
 	for _, e := range r.workflows {
 		if e.workflow != nil {
@@ -111,16 +112,17 @@
 	}
 }
 
-// Waiting returns the number of a queue's accepted workflows of which no task
-// has started.
+// Waiting returns the number of accepted workflows in a queue that have not
+// started any task.
 func (r *Registry) Waiting(queue string) int { return r.waiting[queue] }
 
-// Lasting returns how many thousandths of a core the first steps of lasting
-// workflows reserve in a data centre, as far as these are not over. It is kept up
-// with every record, since owners ask several hundred times a second.
-func (r *Registry) Lasting(dataCentre string) int64 { return r.lasting[dataCentre] }
+// Lasting returns how many thousandths of a core the first steps of unfinished
+// long-running workflows reserve in a data centre. The sum is maintained with
+// every record, since owners query it several hundred times a second.
+func (r *Registry) Lasting(dataCentre string) int64 { return r.longRunning[dataCentre] }
 
-// Models returns what the owners of all data centres have learned last.
+// Models returns the latest interference models of the owners of all data
+// centres.
 func (r *Registry) Models() []briarspring.PressModel {
 	var all []briarspring.PressModel
 	for _, name := range slices.Sorted(maps.Keys(r.models)) {
@@ -129,23 +131,25 @@
 	return all
 }
 
-// Apply applies a record that was read at a time. Records at offsets that were
-// applied before have no effect. Errors are *encoder.MalformedError.
+// Apply applies a record that was read at time now. It ignores records at
+// offsets that are already applied. Errors are *encoder.MalformedError.
 func (r *Registry) Apply(now time.Duration, rec briarspring.KeyedRecord) (Change, error) {
 	if rec.Offset < r.applied {
 		return Change{}, nil
 	}
 	r.applied = rec.Offset + 1
-	return r.apply(now, rec)
+	return r.applyRecord(now, rec)
 }
 
-// Restore applies the newest record of every key and drops workflows that are
-// no longer kept. The records must have been read after everything that was
-// applied before; end is the offset that followed the last record when the
-// reading began. Pages of newest records are no snapshot: a later page may hold a
-// record from the end on whose predecessors were on an earlier page that was read
-// before. Records whose order decides are therefore left to Apply, which gets
-// everything from the end on.
+// Restore applies the newest record of every key and removes workflows that are
+// no longer in the stream. The records must have been read after everything
+// that is already applied; end is the stream's end offset when that read began.
+//
+// The pages of newest records are not a consistent snapshot: a later page may
+// hold a record at or after end whose predecessors belong on a page that was
+// read earlier. Restore therefore skips records at or after end whose effect
+// depends on their order; the caller passes them to Apply, which receives
+// everything from end on.
 func (r *Registry) Restore(now time.Duration, records []briarspring.KeyedRecord, end uint64) ([]Change, []error) {
 	records = slices.Clone(records)
 	slices.SortFunc(records, func(a, b briarspring.KeyedRecord) int { return cmp.Compare(a.Offset, b.Offset) })
@@ -154,12 +158,12 @@
 	var errs []error
 	for _, rec := range records {
 		if rest, ok := strings.CutPrefix(rec.Key, prefixSubmission); ok {
-			kept[idOf(rest)] = true
+			kept[workflowIDOf(rest)] = true
 		}
-		if rec.Offset >= end && orderDecides(rec.Key) {
+		if rec.Offset >= end && isOrderSensitive(rec.Key) {
 			continue
 		}
-		change, err := r.apply(now, rec)
+		change, err := r.applyRecord(now, rec)
 		if err != nil {
 			errs = append(errs, err)
 		}
@@ -169,16 +173,16 @@
 	}
 	for id, e := range r.workflows {
 		if !kept[id] && e.offset < end {
-			r.forget(id)
+			r.removeWorkflow(id)
 		}
 	}
 	r.applied = max(r.applied, end)
 	return changes, errs
 }
 
-// orderDecides reports whether the first of several records has effect, or whether
-// one has depends on those before.
-func orderDecides(key string) bool {
+// isOrderSensitive reports whether the effect of a key's record depends on
+// earlier records, for example because only the first of several counts.
+func isOrderSensitive(key string) bool {
 	for _, prefix := range []string{prefixSubmission, prefixTransfer, prefixClaim} {
 		if strings.HasPrefix(key, prefix) {
 			return true
@@ -187,7 +191,7 @@
 	return false
 }
 
-func (r *Registry) apply(now time.Duration, rec briarspring.KeyedRecord) (Change, error) {
+func (r *Registry) applyRecord(now time.Duration, rec briarspring.KeyedRecord) (Change, error) {
 	kind, rest, found := strings.Cut(rec.Key, "/")
 	if !found {
 		return Change{}, nil
@@ -195,19 +199,19 @@
 	kind += "/"
 	if len(rec.Value) == 0 {
 		if kind == prefixSubmission {
-			r.forget(idOf(rest))
+			r.removeWorkflow(workflowIDOf(rest))
 		}
 		return Change{}, nil
 	}
 	switch kind {
 	case prefixSubmission:
-		return r.submit(idOf(rest), rec)
+		return r.applySubmission(workflowIDOf(rest), rec)
 	case prefixCancel:
-		return r.cancel(now, briarspring.WorkflowID(rest))
+		return r.applyCancellation(now, briarspring.WorkflowID(rest))
 	case prefixRunning, prefixFinal:
-		return r.mark(now, briarspring.WorkflowID(rest), rec)
+		return r.applyPhase(now, briarspring.WorkflowID(rest), rec)
 	case prefixTransfer:
-		return r.transfer(rest, rec)
+		return r.applyTransfer(rest, rec)
 	case prefixClaim:
 		return r.applyClaim(now, rec)
 	case prefixBeat:
@@ -226,13 +230,13 @@
 	return Change{}, nil
 }
 
-// idOf returns the workflow that a key is about, whose kind was cut off.
-func idOf(rest string) briarspring.WorkflowID {
+// workflowIDOf returns the workflow ID at the start of a key without its prefix.
+func workflowIDOf(rest string) briarspring.WorkflowID {
 	id, _, _ := strings.Cut(rest, "/")
 	return briarspring.WorkflowID(id)
 }
 
-// entry returns the entry of a workflow and makes it when there is none.
+// entry returns the entry of a workflow; it creates one when there is none.
 func (r *Registry) entry(id briarspring.WorkflowID) *Entry {
 	e := r.workflows[id]
 	if e == nil {
@@ -242,8 +246,9 @@
 	return e
 }
 
-// submit keeps the first submission of an ID; later ones are repeats.
-func (r *Registry) submit(id briarspring.WorkflowID, rec briarspring.KeyedRecord) (Change, error) {
+// applySubmission keeps the first submission of a workflow ID and ignores later
+// ones as retries.
+func (r *Registry) applySubmission(id briarspring.WorkflowID, rec briarspring.KeyedRecord) (Change, error) {
 	e := r.entry(id)
 	e.keys = append(e.keys, rec.Key)
 	if e.workflow != nil {
@@ -255,36 +260,38 @@
 	}
 	e.workflow = w
 	e.offset = rec.Offset
-	r.countWaiting(e, 1)
-	r.countLasting(e, 1)
+	r.addWaiting(e, 1)
+	r.addLongRunning(e, 1)
 	return Change{Workflow: id}, nil
 }
 
-// countWaiting adds n to the queue's count while e is a waiting workflow.
-func (r *Registry) countWaiting(e *Entry, n int) {
+// addWaiting adds n to the queue's count if no task of the workflow has
+// started.
+func (r *Registry) addWaiting(e *Entry, n int) {
 	if e.workflow != nil && e.Phase() == briarspring.PhaseQueued {
 		r.waiting[e.workflow.Queue] += n
 	}
 }
 
-// countLasting adds n times what a lasting workflow reserves that is not over.
-func (r *Registry) countLasting(e *Entry, n int64) {
+// addLongRunning adds n times the reservation of e to the sums by data centre
+// if e is an unfinished long-running workflow.
+func (r *Registry) addLongRunning(e *Entry, n int64) {
 	if e.workflow == nil || !e.workflow.Lasting() || e.Phase().Final() {
 		return
 	}
 	first := e.workflow.Steps[0]
 	for position := range first.Tasks {
-		r.lasting[e.DataCentre(position)] += n * first.Resources.MilliCPU()
+		r.longRunning[e.DataCentre(position)] += n * first.Resources.MilliCPU()
 	}
 }
 
-func (r *Registry) cancel(now time.Duration, id briarspring.WorkflowID) (Change, error) {
+func (r *Registry) applyCancellation(now time.Duration, id briarspring.WorkflowID) (Change, error) {
 	e := r.entry(id)
 	if e.cancelled {
 		return Change{}, nil
 	}
-	r.countWaiting(e, -1)
-	r.countLasting(e, -1)
+	r.addWaiting(e, -1)
+	r.addLongRunning(e, -1)
 	e.cancelled = true
 	if !e.phase.Final() {
 		e.finalAt = now
@@ -292,7 +299,7 @@
 	return Change{Workflow: id}, nil
 }
 
-func (r *Registry) mark(now time.Duration, id briarspring.WorkflowID, rec briarspring.KeyedRecord) (Change, error) {
+func (r *Registry) applyPhase(now time.Duration, id briarspring.WorkflowID, rec briarspring.KeyedRecord) (Change, error) {
 	phase, err := encoder.DecodePhaseMark(rec.Value)
 	if err != nil {
 		return Change{}, err
@@ -301,23 +308,23 @@
 	if e.phase >= phase || e.phase.Final() {
 		return Change{}, nil
 	}
-	r.countWaiting(e, -1)
-	r.countLasting(e, -1)
+	r.addWaiting(e, -1)
+	r.addLongRunning(e, -1)
 	e.phase = phase
-	r.countLasting(e, 1)
+	r.addLongRunning(e, 1)
 	if phase.Final() {
 		e.finalAt = now
 	}
 	return Change{Workflow: id}, nil
 }
 
-// transfer moves tasks when the giving owner's claim is in force.
-func (r *Registry) transfer(rest string, rec briarspring.KeyedRecord) (Change, error) {
+// applyTransfer moves tasks if the transferring owner's claim is in force.
+func (r *Registry) applyTransfer(rest string, rec briarspring.KeyedRecord) (Change, error) {
 	t, err := encoder.DecodeTaskTransfer(rec.Value)
 	if err != nil {
 		return Change{}, err
 	}
-	e := r.Workflow(idOf(rest))
+	e := r.Workflow(workflowIDOf(rest))
 	if e == nil {
 		return Change{}, nil
 	}
@@ -326,7 +333,7 @@
 	if e.transfers[name] {
 		return Change{}, nil
 	}
-	if r.of(t.From).claim.Token != t.Token {
+	if r.ownershipOf(t.From).claim.Token != t.Token {
 		return Change{}, nil
 	}
 	if e.moved == nil {
@@ -334,8 +341,8 @@
 		e.transfers = map[string]bool{}
 	}
 	e.transfers[name] = true
-	r.countLasting(e, -1)
-	defer r.countLasting(e, 1)
+	r.addLongRunning(e, -1)
+	defer r.addLongRunning(e, 1)
 	for _, p := range t.Tasks {
 		if e.DataCentre(p.Position) == t.From {
 			e.moved[p.Position] = Moved{To: t.To, Progress: p, Count: e.moved[p.Position].Count + 1}
@@ -344,16 +351,16 @@
 	return Change{Workflow: e.workflow.ID}, nil
 }
 
-func (r *Registry) forget(id briarspring.WorkflowID) {
+func (r *Registry) removeWorkflow(id briarspring.WorkflowID) {
 	if e := r.workflows[id]; e != nil {
-		r.countWaiting(e, -1)
-		r.countLasting(e, -1)
+		r.addWaiting(e, -1)
+		r.addLongRunning(e, -1)
 		delete(r.workflows, id)
 	}
 }
 
-// Expired returns the keys of workflows of a data centre whose final phase was
-// read at least keep ago, at most limit workflows.
+// Expired returns the keys of at most limit workflows of a data centre whose
+// final phase was read at least keep ago.
 func (r *Registry) Expired(now, keep time.Duration, dataCentre string, limit int) []string {
 	var keys []string
 	for id, e := range r.workflows {
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -27,7 +27,8 @@
 	return offset
 }
 
-// claim appends one try of a claim and returns the token that it would have.
+// claim appends one attempt to claim tartu and returns the token that the claim
+// has if it is accepted.
 func (s *stream) claim(owner string, previous uint64) uint64 {
 	value, err := encoder.DataCentreClaim(briarspring.DataCentreClaim{
 		DataCentre: "tartu", Previous: previous, Owner: owner, Incarnation: 1,
@@ -42,7 +43,7 @@
 	s.add(registrar.SubmissionKey(id, registrar.NewTry()), value, err)
 }
 
-func (s *stream) submitLasting(id briarspring.WorkflowID, dataCentre string) {
+func (s *stream) submitLongRunning(id briarspring.WorkflowID, dataCentre string) {
 	needs := briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 3000, MemoryMiB: 1})
 	value, err := encoder.Submission(&briarspring.Workflow{
 		ID: id, DataCentre: dataCentre, Queue: "lasting", Steps: []briarspring.Step{{Tasks: 3, Resources: needs, Lasting: true}},
@@ -57,12 +58,12 @@
 	s.add(registrar.TransferKey(id, token, number, registrar.NewTry()), value, err)
 }
 
-func (s *stream) phase(key string, p briarspring.Phase) {
+func (s *stream) addPhase(key string, p briarspring.Phase) {
 	value, err := encoder.PhaseMark(p)
 	s.add(key, value, err)
 }
 
-// live returns the state of a host that read everything in order.
+// live returns the state of a host that read every record in order.
 func (s *stream) live() *registrar.Registry {
 	r := registrar.New()
 	for _, rec := range s.records {
@@ -72,7 +73,8 @@
 	return r
 }
 
-// restored returns the state of a host that read the newest record of each key.
+// restored returns the state of a host that read only the newest record of each
+// key.
 func (s *stream) restored() *registrar.Registry {
 	newest := map[string]briarspring.KeyedRecord{}
 	for _, rec := range s.records {
@@ -91,9 +93,9 @@
 	return r
 }
 
-// restoredMeanwhile returns the state of a host that began to read pages of the
-// newest records when the stream had a length, and read one of the later records
-// on a later page, before it read on from that length.
+// restoredMeanwhile returns the state of a host that started to read the pages
+// of newest records when the stream had the given length, found the record at
+// offset late on a later page, and then read on from that length.
 func (s *stream) restoredMeanwhile(length, late int) *registrar.Registry {
 	records := slices.Clone(s.records[:length])
 	records = append(records, s.records[late])
@@ -107,8 +109,8 @@
 	return r
 }
 
-// assertLasting compares the sums that are kept with those of all workflows.
-func assertLasting(t *testing.T, r *registrar.Registry) {
+// assertLongRunning compares the maintained sums with sums over all workflows.
+func assertLongRunning(t *testing.T, r *registrar.Registry) {
 	t.Helper()
 	sums := map[string]int64{"tartu": 0, "viljandi": 0, "voru": 0}
 	r.Workflows(func(e *registrar.Entry) {
@@ -125,26 +127,26 @@
 
 func TestLasting(t *testing.T) {
 	s := &stream{t: t}
-	s.submitLasting("a", "tartu")
-	s.submitLasting("b", "viljandi")
-	s.submitLasting("c", "tartu")
+	s.submitLongRunning("a", "tartu")
+	s.submitLongRunning("b", "viljandi")
+	s.submitLongRunning("c", "tartu")
 	token := s.claim("host-1", 0)
 	s.transfer("a", token, 1, "tartu", "viljandi")
-	s.phase(registrar.RunningKey("b"), briarspring.PhaseRunning)
+	s.addPhase(registrar.RunningKey("b"), briarspring.PhaseRunning)
 	s.add(registrar.CancelKey("b"), []byte{1}, nil)
 	s.transfer("c", token, 2, "tartu", "voru")
 	s.add(registrar.CancelKey("c"), []byte{1}, nil)
-	s.phase(registrar.FinalKey("a"), briarspring.PhaseFailed)
-	assertBoth(t, s, assertLasting)
+	s.addPhase(registrar.FinalKey("a"), briarspring.PhaseFailed)
+	assertBoth(t, s, assertLongRunning)
 	r := registrar.New()
 	for _, rec := range s.records {
 		_, err := r.Apply(time.Second, rec)
 		require.NoError(t, err)
-		assertLasting(t, r)
+		assertLongRunning(t, r)
 	}
 }
 
-// assertBoth checks a host that read everything and ones that were restored.
+// assertBoth runs check on a host that read every record and on restored hosts.
 func assertBoth(t *testing.T, s *stream, check func(t *testing.T, r *registrar.Registry)) {
 	t.Helper()
 	t.Run("live", func(t *testing.T) { check(t, s.live()) })
@@ -182,9 +184,9 @@
 	t.Run("of final phases", func(t *testing.T) {
 		s := &stream{t: t}
 		s.submit("a", "tartu")
-		s.phase(registrar.RunningKey("a"), briarspring.PhaseRunning)
-		s.phase(registrar.FinalKey("a"), briarspring.PhaseCompleted)
-		s.phase(registrar.RunningKey("a"), briarspring.PhaseRunning)
+		s.addPhase(registrar.RunningKey("a"), briarspring.PhaseRunning)
+		s.addPhase(registrar.FinalKey("a"), briarspring.PhaseCompleted)
+		s.addPhase(registrar.RunningKey("a"), briarspring.PhaseRunning)
 		assertBoth(t, s, func(t *testing.T, r *registrar.Registry) {
 			assert.Equal(t, briarspring.PhaseCompleted, r.Workflow("a").Phase())
 			assert.Zero(t, r.Waiting("urgent"))
@@ -193,7 +195,7 @@
 }
 
 func TestTransfers(t *testing.T) {
-	t.Run("count under the token in force only", func(t *testing.T) {
+	t.Run("take effect only under the token in force", func(t *testing.T) {
 		s := &stream{t: t}
 		s.submit("a", "tartu")
 		token := s.claim("host-1", 0)
@@ -203,7 +205,7 @@
 			assert.Equal(t, "tartu", r.Workflow("a").DataCentre(1))
 		})
 	})
-	t.Run("move the tasks that they name", func(t *testing.T) {
+	t.Run("move only the listed tasks", func(t *testing.T) {
 		s := &stream{t: t}
 		s.submit("a", "tartu")
 		token := s.claim("host-1", 0)
@@ -215,7 +217,7 @@
 			assert.Equal(t, uint32(3), r.Workflow("a").Moved()[1].Progress.Run)
 		})
 	})
-	t.Run("count once, also when they are recorded again after the way back", func(t *testing.T) {
+	t.Run("take effect once, also when repeated after the task was transferred back", func(t *testing.T) {
 		s := &stream{t: t}
 		s.submit("a", "tartu")
 		there := s.claim("host-1", 0)
@@ -236,7 +238,7 @@
 		value, err := encoder.Retirement(briarspring.Retirement{Token: token, Silent: silent})
 		s.add(registrar.RetireKey("tartu", token), value, err)
 	}
-	t.Run("may live on until the longest time without the log is over", func(t *testing.T) {
+	t.Run("may give orders until the maximum time without the log has passed", func(t *testing.T) {
 		s := &stream{t: t}
 		s.claim("host-2", s.claim("host-1", 0))
 		assertBoth(t, s, func(t *testing.T, r *registrar.Registry) {
@@ -246,7 +248,7 @@
 			assert.True(t, gone)
 		})
 	})
-	t.Run("are gone when their process began a new life", func(t *testing.T) {
+	t.Run("are gone when their process restarted", func(t *testing.T) {
 		s := &stream{t: t}
 		s.claim("host-2", s.claim("host-1", 0))
 		value, err := encoder.HostPresence(briarspring.HostPresence{DataCentre: "tartu", Incarnation: 2})
@@ -257,8 +259,8 @@
 			assert.Equal(t, time.Second, at)
 		})
 	})
-	// The record of an owner that met no silent worker was empty, and an empty
-	// record drops its key.
+	// The retirement record of an owner without silent workers was encoded as an
+	// empty value, which deletes the key.
 	t.Run("retire also when every worker answered", func(t *testing.T) {
 		s := &stream{t: t}
 		token := s.claim("host-1", 0)
@@ -269,7 +271,7 @@
 			assert.True(t, gone)
 		})
 	})
-	t.Run("tell when they retire which workers did not answer", func(t *testing.T) {
+	t.Run("record on retirement which workers did not answer", func(t *testing.T) {
 		s := &stream{t: t}
 		token := s.claim("host-1", 0)
 		retire(s, token, briarspring.SilentWorker{Worker: "w", LeaseLeft: 2 * time.Second})
@@ -280,7 +282,7 @@
 			assert.Equal(t, map[string]time.Duration{"w": 3 * time.Second}, r.Silent("tartu"))
 		})
 	})
-	t.Run("before the last one tell nothing of what it did", func(t *testing.T) {
+	t.Run("before the previous one don't report its silent workers", func(t *testing.T) {
 		s := &stream{t: t}
 		token := s.claim("host-1", 0)
 		retire(s, token, briarspring.SilentWorker{Worker: "w", LeaseLeft: 2 * time.Second})
