--- a/appender/appender.go
+++ b/appender/appender.go
@@ -1,6 +1,6 @@
-// Package appender groups the records that the parts of a process write to a
-// keyed stream into few appends. The records must be idempotent: one whose
-// append got no answer may be written again.
+// Package appender batches the records that different parts of a process write
+// to a keyed stream. Records must be idempotent: one whose append got no answer
+// may be written again.
 package appender
 
 import (
@@ -23,44 +23,45 @@
 }
 
 const (
-	// callTimeout of an append; above the 0.8 s that a store takes that is
-	// slowed down 75 times.
+	// callTimeout is the timeout of an append. A store that is slowed down 75
+	// times takes 0.8 s to answer.
 	callTimeout = 1500 * time.Millisecond
-	// maxInFlight bounds the appends at a time, so that one on a silent
-	// connection does not hold up the others.
+	// maxInFlight bounds the concurrent appends. There are several so that one on
+	// a silent connection does not hold up the others.
 	maxInFlight = 4
-	// groupPause lets records that come together share an append.
-	groupPause = 4 * time.Millisecond
-	// maxGroup bounds the records of an append.
-	maxGroup = 256
-	// queueLength bounds the writes that wait for an append.
+	// batchWindow is how long a batch collects writes after its first one.
+	batchWindow = 4 * time.Millisecond
+	// maxBatchRecords is the number of records at which a batch is full. The last
+	// write added to it may exceed it.
+	maxBatchRecords = 256
+	// queueLength bounds the writes waiting for an append.
 	queueLength = 1024
 )
 
 // Appender writes the records of one process to one stream.
 type Appender struct {
 	config Config
-	queue  chan write
+	queue  chan writeRequest
 	done   chan struct{}
 }
 
-type write struct {
+type writeRequest struct {
 	records []briarspring.KeyedRecord
-	answer  chan error
+	result  chan error
 }
 
 // New returns an appender; Run makes it write.
 func New(c Config) *Appender {
-	return &Appender{config: c, queue: make(chan write, queueLength), done: make(chan struct{})}
+	return &Appender{config: c, queue: make(chan writeRequest, queueLength), done: make(chan struct{})}
 }
 
 // Done returns a channel that is closed when Run has ended.
 func (a *Appender) Done() <-chan struct{} { return a.done }
 
-// Write appends records and returns when the outcome is known. The error is a
+// Write appends records and waits for the result. The error is a
 // *briarspring.NotDoneError when certainly nothing was written.
 func (a *Appender) Write(ctx context.Context, records ...briarspring.KeyedRecord) error {
-	w := write{records: records, answer: make(chan error, 1)}
+	w := writeRequest{records: records, result: make(chan error, 1)}
 	select {
 	case a.queue <- w:
 	case <-ctx.Done():
@@ -69,7 +70,7 @@
 		return &briarspring.NotDoneError{Call: "append to " + a.config.Stream, Reason: "the process stops"}
 	}
 	select {
-	case err := <-w.answer:
+	case err := <-w.result:
 		return err
 	case <-ctx.Done():
 		return &briarspring.DoubtError{Call: "append to " + a.config.Stream, Cause: ctx.Err()}
@@ -78,11 +79,11 @@
 	}
 }
 
-// Run writes until the context ends.
+// Run appends batches until the context ends.
 func (a *Appender) Run(ctx context.Context) {
 	defer close(a.done)
-	var flights sync.WaitGroup
-	defer flights.Wait()
+	var appends sync.WaitGroup
+	defer appends.Wait()
 	slots := make(chan struct{}, maxInFlight)
 	for {
 		select {
@@ -90,50 +91,50 @@
 			return
 		case slots <- struct{}{}:
 		}
-		group := a.gather(ctx)
-		if len(group) == 0 {
+		batch := a.collectBatch(ctx)
+		if len(batch) == 0 {
 			return
 		}
-		flights.Go(func() {
-			a.append(ctx, group)
+		appends.Go(func() {
+			a.append(ctx, batch)
 			<-slots
 		})
 	}
 }
 
-// gather waits for a write and takes those that follow at once.
-func (a *Appender) gather(ctx context.Context) []write {
-	var group []write
+// collectBatch waits for a write and adds those that follow within batchWindow.
+func (a *Appender) collectBatch(ctx context.Context) []writeRequest {
+	var batch []writeRequest
 	select {
 	case <-ctx.Done():
 		return nil
 	case w := <-a.queue:
-		group = append(group, w)
+		batch = append(batch, w)
 	}
-	pause := time.NewTimer(groupPause)
+	pause := time.NewTimer(batchWindow)
 	defer pause.Stop()
-	records := len(group[0].records)
-	for records < maxGroup {
+	records := len(batch[0].records)
+	for records < maxBatchRecords {
 		select {
 		case w := <-a.queue:
-			group = append(group, w)
+			batch = append(batch, w)
 			records += len(w.records)
 		case <-pause.C:
-			return group
+			return batch
 		}
 	}
-	return group
+	return batch
 }
 
-func (a *Appender) append(ctx context.Context, group []write) {
+func (a *Appender) append(ctx context.Context, batch []writeRequest) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var records []briarspring.KeyedRecord
-	for _, w := range group {
+	for _, w := range batch {
 		records = append(records, w.records...)
 	}
 	_, err := a.config.Store.Append(ctx, a.config.Stream, records, briarspring.Fence{})
-	for _, w := range group {
-		w.answer <- err
+	for _, w := range batch {
+		w.result <- err
 	}
 }
--- a/committer/committer.go
+++ b/committer/committer.go
@@ -1,6 +1,6 @@
-// Package committer appends records to a stream in order and exactly once:
-// a record whose answer was lost is appended again under the same sequence,
-// and readers drop the repeat.
+// Package committer appends records to a stream in order, with effect exactly
+// once: a record whose append got no answer is appended again with the same
+// sequence number, and readers drop the duplicate.
 package committer
 
 import (
@@ -15,10 +15,10 @@
 )
 
 const (
-	queueLength = 1024
-	callTimeout = 3 * time.Second
-	firstPause  = 20 * time.Millisecond
-	longestWait = time.Second
+	queueLength   = 1024
+	callTimeout   = 3 * time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
 // Appender appends a record to a stream of the platform's log.
@@ -31,11 +31,11 @@
 	Stream   string
 	Appender Appender
 	Writer   briarspring.Writer
-	Interval time.Duration // Least time between two appends.
+	Interval time.Duration // Minimum time between two appends.
 	Logger   hclog.Logger
 }
 
-// Committer is the only writer of one process to one stream.
+// Committer writes to one stream. A process has only one for each stream.
 type Committer struct {
 	config   Config
 	queue    chan entry
@@ -59,8 +59,8 @@
 // Done returns a channel that is closed when Run has ended.
 func (c *Committer) Done() <-chan struct{} { return c.done }
 
-// Commit queues a record and returns its sequence. It reports false when the
-// queue is full. Only one goroutine may call it at a time.
+// Commit queues a record and returns its sequence number. It returns false when
+// the queue is full. Only one goroutine may call it at a time.
 func (c *Committer) Commit(body briarspring.Body) (sequence uint64, ok bool) {
 	select {
 	case c.queue <- entry{body: body, sequence: c.sequence + 1}:
@@ -94,22 +94,22 @@
 		c.config.Logger.Error("record can't be encoded", "stream", c.config.Stream, "error", err)
 		return
 	}
-	wait := firstPause
+	wait := minRetryDelay
 	for ctx.Err() == nil {
-		err := c.try(ctx, data)
+		err := c.appendOnce(ctx, data)
 		if err == nil {
 			return
 		}
-		if wait == firstPause && ctx.Err() == nil {
-			c.config.Logger.Warn("append failed, repeating it",
+		if wait == minRetryDelay && ctx.Err() == nil {
+			c.config.Logger.Warn("append failed, retrying",
 				"stream", c.config.Stream, "sequence", e.sequence, "error", err)
 		}
 		_ = sleeper.For(ctx, wait)
-		wait = min(2*wait, longestWait)
+		wait = min(2*wait, maxRetryDelay)
 	}
 }
 
-func (c *Committer) try(ctx context.Context, data []byte) error {
+func (c *Committer) appendOnce(ctx context.Context, data []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := c.config.Appender.Append(ctx, c.config.Stream, data)
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,5 +1,5 @@
-// Package follower reads a stream of the platform's log in order, from a
-// snapshot on when the records before it are no longer kept.
+// Package follower reads a stream of the platform's log in order. It starts from
+// a snapshot when earlier records are no longer kept.
 package follower
 
 import (
@@ -19,7 +19,7 @@
 	defaultWait  = 500 * time.Millisecond
 	defaultPause = 100 * time.Millisecond
 	queueLength  = 256
-	// callMargin is what a read may take beyond the wait it asks for.
+	// callMargin is added to the wait of a read to get its timeout.
 	callMargin = 2 * time.Second
 )
 
@@ -28,37 +28,37 @@
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (briarspring.LogPage, error)
 }
 
-// Item is one step of a stream: a snapshot to restore, a record to apply, or
-// word that everything that the log held at a time has been handed over.
+// Item is a snapshot to restore, a record to apply, or a marker that every
+// record readable at a point in time has been delivered.
 type Item struct {
 	Snapshot []byte // When not nil, the state to restore.
-	Offset   uint64 // Of the record, or the one that the snapshot covers.
+	Offset   uint64 // Offset of the record, or the last one that the snapshot covers.
 	Record   briarspring.Record
-	Bad      error     // Why the record can't be decoded; it only counts.
-	CaughtUp time.Time // When not zero, no record that was readable then is missing.
+	Bad      error     // Why the record can't be decoded; the caller skips its offset.
+	CaughtUp time.Time // When not zero, every record readable at that time was delivered.
 }
 
 // Config holds the settings of a Follower.
 type Config struct {
 	Stream string
 	Reader Reader
-	From   uint64        // First offset wanted; zero is one.
-	Wait   time.Duration // Of a read for the next record.
-	Pause  time.Duration // After a failed read.
+	From   uint64        // First offset to deliver; zero means one.
+	Wait   time.Duration // How long a read waits for the next record.
+	Pause  time.Duration // Pause after a failed read.
 	Logger hclog.Logger
 }
 
-// Follower hands over a stream's items in order.
+// Follower delivers a stream's items in order.
 type Follower struct {
 	config Config
 	next   uint64
 	items  chan Item
 	done   chan struct{}
-	seek   *seek // Not nil while a snapshot is looked for.
+	search *snapshotSearch // Not nil while searching for a snapshot.
 }
 
-// seek holds what was read while a snapshot is looked for.
-type seek struct {
+// snapshotSearch holds the records read while searching for a snapshot.
+type snapshotSearch struct {
 	collector applier.Collector
 	records   []Item
 	oldest    uint64
@@ -108,7 +108,7 @@
 			f.config.Logger.Info("log can be read again", "stream", f.config.Stream)
 		}
 		failing = false
-		f.take(ctx, page, sent)
+		f.handlePage(ctx, page, sent)
 	}
 }
 
@@ -118,10 +118,10 @@
 	return f.config.Reader.Read(ctx, f.config.Stream, f.next, readLimit, f.config.Wait)
 }
 
-// take hands over one page.
-func (f *Follower) take(ctx context.Context, page briarspring.LogPage, sent time.Time) {
+// handlePage delivers the records of one page that was requested at sent.
+func (f *Follower) handlePage(ctx context.Context, page briarspring.LogPage, sent time.Time) {
 	if page.Oldest > f.next {
-		f.startSeek(page.Oldest)
+		f.startSearch(page.Oldest)
 		return
 	}
 	if page.Next < f.next {
@@ -136,21 +136,21 @@
 			return
 		}
 		f.next++
-		f.entry(ctx, e)
+		f.handleEntry(ctx, e)
 	}
-	if f.seek == nil && f.next == page.Next {
-		f.hand(ctx, Item{CaughtUp: sent})
+	if f.search == nil && f.next == page.Next {
+		f.deliver(ctx, Item{CaughtUp: sent})
 	}
 }
 
-func (f *Follower) startSeek(oldest uint64) {
+func (f *Follower) startSearch(oldest uint64) {
 	f.config.Logger.Info("records are no longer kept, looking for a snapshot",
 		"stream", f.config.Stream, "wanted", f.next, "oldest", oldest)
-	f.seek = &seek{oldest: oldest}
+	f.search = &snapshotSearch{oldest: oldest}
 	f.next = oldest
 }
 
-func (f *Follower) entry(ctx context.Context, e briarspring.LogEntry) {
+func (f *Follower) handleEntry(ctx context.Context, e briarspring.LogEntry) {
 	item := Item{Offset: e.Offset}
 	record, err := encoder.DecodeRecord(e.Record)
 	if err != nil {
@@ -159,35 +159,35 @@
 	} else {
 		item.Record = record
 	}
-	if f.seek == nil {
-		f.hand(ctx, item)
+	if f.search == nil {
+		f.deliver(ctx, item)
 		return
 	}
-	f.seek.records = append(f.seek.records, item)
+	f.search.records = append(f.search.records, item)
 	chunk, ok := item.Record.Body.(briarspring.SnapshotChunk)
 	if !ok {
 		return
 	}
-	data, whole := f.seek.collector.Add(item.Record.Writer, chunk)
-	if whole && chunk.Covers+1 >= f.seek.oldest {
-		f.endSeek(ctx, data, chunk.Covers)
+	data, whole := f.search.collector.Add(item.Record.Writer, chunk)
+	if whole && chunk.Covers+1 >= f.search.oldest {
+		f.finishSearch(ctx, data, chunk.Covers)
 	}
 }
 
-// endSeek hands over the snapshot and the records that follow it.
-func (f *Follower) endSeek(ctx context.Context, data []byte, covers uint64) {
+// finishSearch delivers the snapshot and the records after it.
+func (f *Follower) finishSearch(ctx context.Context, data []byte, covers uint64) {
 	f.config.Logger.Info("snapshot found", "stream", f.config.Stream, "covers", covers, "bytes", len(data))
-	records := f.seek.records
-	f.seek = nil
-	f.hand(ctx, Item{Snapshot: data, Offset: covers})
+	records := f.search.records
+	f.search = nil
+	f.deliver(ctx, Item{Snapshot: data, Offset: covers})
 	for _, item := range records {
 		if item.Offset > covers {
-			f.hand(ctx, item)
+			f.deliver(ctx, item)
 		}
 	}
 }
 
-func (f *Follower) hand(ctx context.Context, item Item) {
+func (f *Follower) deliver(ctx context.Context, item Item) {
 	select {
 	case f.items <- item:
 	case <-ctx.Done():
--- a/replicator/replicator.go
+++ b/replicator/replicator.go
@@ -1,5 +1,5 @@
-// Package replicator keeps a host's copy of the shared state and tells the
-// parts of the process what changed.
+// Package replicator maintains a host's replica of the shared state and notifies
+// subscribers of changes.
 package replicator
 
 import (
@@ -12,8 +12,8 @@
 	"briarspring/registrar"
 )
 
-// maxPending bounds the changes that wait for a subscriber; one that falls
-// behind looks at everything again.
+// maxPending bounds the changes queued for a subscriber. One that falls behind
+// must read the whole state again.
 const maxPending = 4096
 
 // Config holds the settings of a Replica.
@@ -22,7 +22,7 @@
 	Logger hclog.Logger
 }
 
-// Replica is a copy of the shared state. It is a tracker's sink.
+// Replica is a host's replica of the shared state. It implements tracker.Sink.
 type Replica struct {
 	config Config
 
@@ -31,7 +31,7 @@
 	subscribers []*Subscription
 }
 
-// New returns an empty copy.
+// New returns an empty replica.
 func New(c Config) *Replica {
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
@@ -39,29 +39,29 @@
 	return &Replica{config: c, registry: registrar.New()}
 }
 
-// View calls f with the state, which must not be used afterwards.
+// View calls f with the state, which f must not retain.
 func (r *Replica) View(f func(*registrar.Registry)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.registry)
 }
 
-// Restore takes the newest record of every key.
+// Restore applies the newest record of every key.
 func (r *Replica) Restore(records []briarspring.KeyedRecord, end uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changes, errs := r.registry.Restore(r.config.Now(), records, end)
 	for _, err := range errs {
-		r.config.Logger.Warn("record has no effect", "error", err)
+		r.config.Logger.Warn("ignoring malformed record", "error", err)
 	}
 	for _, s := range r.subscribers {
 		s.all = true
-		s.wake()
+		s.notify()
 	}
 	r.config.Logger.Info("shared state restored", "records", len(records), "end", end, "changes", len(changes))
 }
 
-// Apply takes records in order.
+// Apply applies records in order.
 func (r *Replica) Apply(records []briarspring.KeyedRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,34 +69,35 @@
 	for _, rec := range records {
 		change, err := r.registry.Apply(now, rec)
 		if err != nil {
-			r.config.Logger.Warn("record has no effect", "key", rec.Key, "offset", rec.Offset, "error", err)
+			r.config.Logger.Warn("ignoring malformed record", "key", rec.Key, "offset", rec.Offset, "error", err)
 		}
 		if change == (registrar.Change{}) {
 			continue
 		}
 		for _, s := range r.subscribers {
-			s.add(change)
+			s.enqueue(change)
 		}
 	}
 	for _, s := range r.subscribers {
-		s.wake()
+		s.notify()
 	}
 }
 
-// Subscription collects the changes for one part of the process.
+// Subscription queues changes for one subscriber.
 type Subscription struct {
 	replica *Replica
 	changed chan struct{}
 	pending []registrar.Change
-	all     bool
+	all     bool // The subscriber must read the whole state.
 }
 
-// Subscribe returns a subscription that begins with a look at everything.
+// Subscribe returns a subscription whose first Take asks to read the whole
+// state.
 func (r *Replica) Subscribe() *Subscription {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := &Subscription{replica: r, changed: make(chan struct{}, 1), all: true}
-	s.wake()
+	s.notify()
 	r.subscribers = append(r.subscribers, s)
 	return s
 }
@@ -113,11 +114,11 @@
 	}
 }
 
-// Changed returns a channel that has a value after records were read.
+// Changed returns a channel that receives a value after records were applied.
 func (s *Subscription) Changed() <-chan struct{} { return s.changed }
 
-// Take returns the changes since the last call, and whether everything is to be
-// looked at instead.
+// Take returns the changes since the last call, or true when the caller must
+// read the whole state instead.
 func (s *Subscription) Take() (changes []registrar.Change, all bool) {
 	s.replica.mu.Lock()
 	defer s.replica.mu.Unlock()
@@ -126,7 +127,7 @@
 	return changes, all
 }
 
-func (s *Subscription) add(c registrar.Change) {
+func (s *Subscription) enqueue(c registrar.Change) {
 	if s.all {
 		return
 	}
@@ -137,7 +138,7 @@
 	s.pending = append(s.pending, c)
 }
 
-func (s *Subscription) wake() {
+func (s *Subscription) notify() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -1,5 +1,5 @@
-// Package tracker follows a keyed stream: it begins with the newest record of
-// every key, reads on from there, and begins anew when records that it has not
+// Package tracker follows a keyed stream: it starts with the newest record of
+// every key, reads on from there, and starts over when records that it has not
 // read are no longer kept.
 package tracker
 
@@ -18,20 +18,21 @@
 
 // Store reads keyed streams.
 type Store interface {
-	// Read returns the records from an offset on, as soon as there is one or the
-	// wait is over. The error is a *briarspring.TrimmedError when records from
-	// there on are no longer kept.
+	// Read returns the records from an offset on. It returns as soon as there is
+	// one, or after wait. The error is a *briarspring.TrimmedError when records
+	// from that offset on are no longer kept.
 	Read(ctx context.Context, stream string, from uint64, wait time.Duration) (briarspring.KeyedPage, error)
-	// Newest returns the newest record of every key after a key, in order of key,
-	// and whether there are more. End is that of the stream.
+	// Newest returns a page of the newest records of the keys greater than after,
+	// in key order, and whether there are more. The page's End is the end of the
+	// stream.
 	Newest(ctx context.Context, stream, after string) (page briarspring.KeyedPage, more bool, err error)
 }
 
-// Sink takes what a tracker reads. The calls come from one goroutine.
+// Sink receives what a tracker reads. All calls come from one goroutine.
 type Sink interface {
-	// Restore takes the newest record of every key.
+	// Restore receives the newest record of every key.
 	Restore(records []briarspring.KeyedRecord, end uint64)
-	// Apply takes records in order.
+	// Apply receives records in order.
 	Apply(records []briarspring.KeyedRecord)
 }
 
@@ -40,37 +41,38 @@
 	Stream   string
 	Store    Store
 	Sink     Sink
-	Wait     time.Duration        // Of a read for the next record.
-	Interval func() time.Duration // Least time between two reads; nil for none.
+	Wait     time.Duration        // How long a read waits for the next record.
+	Interval func() time.Duration // Minimum time between two reads; nil for none.
 	Enabled  func() bool          // Whether to read at all; nil for always.
 	Now      func() time.Duration
 	Logger   hclog.Logger
 }
 
 const (
-	// callSlack is added to the wait of a read for its time-out; above the 0.8 s
-	// that a store takes that is slowed down 75 times.
-	callSlack = 1200 * time.Millisecond
-	// retryPause after a failed call.
+	// callMargin is added to the wait of a read to get its timeout, and is the
+	// timeout of other calls. A store that is slowed down 75 times takes 0.8 s to
+	// answer.
+	callMargin = 1200 * time.Millisecond
+	// retryPause is the pause after a failed call.
 	retryPause = 100 * time.Millisecond
-	// delayReads is the number of reads of which the shortest tells how fast the
-	// store answers; others may have waited for a record.
-	delayReads = 4
-	// disabledPause between two looks whether to read again.
+	// responseTimeReads is the number of recent reads whose shortest is taken as the
+	// store's response time; longer ones may have waited for a record.
+	responseTimeReads = 4
+	// disabledPause is the interval of polling Enabled while it reports false.
 	disabledPause = 20 * time.Millisecond
 )
 
 // Tracker follows one stream.
 type Tracker struct {
-	config   Config
-	next     uint64
-	restored bool
-	failures int
-	fresh    atomic.Int64 // When the last successful read was sent, by Now.
-	delay    atomic.Int64 // Least time of the last reads.
-	took     [delayReads]time.Duration
-	reads    int
-	done     chan struct{}
+	config       Config
+	next         uint64
+	restored     bool
+	failures     int
+	lastReadAt   atomic.Int64 // When the last successful read was sent, by Now; -1 before the first.
+	responseTime atomic.Int64 // Shortest of the last reads.
+	readTimes    [responseTimeReads]time.Duration
+	reads        int
+	done         chan struct{}
 }
 
 // New returns a tracker; Run makes it read.
@@ -79,22 +81,22 @@
 		c.Logger = hclog.NewNullLogger()
 	}
 	t := &Tracker{config: c, done: make(chan struct{})}
-	t.fresh.Store(-1)
+	t.lastReadAt.Store(-1)
 	return t
 }
 
 // Done returns a channel that is closed when Run has ended.
 func (t *Tracker) Done() <-chan struct{} { return t.done }
 
-// Fresh returns when the last successful read was sent; false before the first
-// one.
+// Fresh returns when the last successful read was sent, and false before the
+// first one.
 func (t *Tracker) Fresh() (time.Duration, bool) {
-	at := t.fresh.Load()
+	at := t.lastReadAt.Load()
 	return time.Duration(at), at >= 0
 }
 
-// Age returns the time since the last successful read was sent; false before
-// the first one.
+// Age returns the time since the last successful read was sent, and false
+// before the first one.
 func (t *Tracker) Age() (time.Duration, bool) {
 	at, ok := t.Fresh()
 	return t.config.Now() - at, ok
@@ -110,51 +112,51 @@
 			continue
 		}
 		started := t.config.Now()
-		if err := t.turn(ctx); err != nil {
-			t.failed(ctx, err)
+		if err := t.readOnce(ctx); err != nil {
+			t.recordFailure(ctx, err)
 			_ = sleeper.For(ctx, retryPause)
 			continue
 		}
 		if t.failures > 0 {
-			t.config.Logger.Info("stream is read again", "stream", t.config.Stream, "failures", t.failures, "offset", t.next)
+			t.config.Logger.Info("stream can be read again", "stream", t.config.Stream, "failures", t.failures, "offset", t.next)
 			t.failures = 0
 		}
-		t.fresh.Store(int64(started))
-		t.measure(t.config.Now() - started)
+		t.lastReadAt.Store(int64(started))
+		t.recordReadTime(t.config.Now() - started)
 		if t.config.Interval != nil {
 			_ = sleeper.For(ctx, t.config.Interval()-(t.config.Now()-started))
 		}
 	}
 }
 
-// measure notes how long a read took.
-func (t *Tracker) measure(took time.Duration) {
-	t.took[t.reads%delayReads] = took
+// recordReadTime updates the store's response time with the duration of a read.
+func (t *Tracker) recordReadTime(took time.Duration) {
+	t.readTimes[t.reads%responseTimeReads] = took
 	t.reads++
-	t.delay.Store(int64(slices.Min(t.took[:min(t.reads, delayReads)])))
+	t.responseTime.Store(int64(slices.Min(t.readTimes[:min(t.reads, responseTimeReads)])))
 }
 
-// Delay returns how long the store takes to answer at present.
-func (t *Tracker) Delay() time.Duration { return time.Duration(t.delay.Load()) }
+// Delay returns the store's current response time.
+func (t *Tracker) Delay() time.Duration { return time.Duration(t.responseTime.Load()) }
 
-func (t *Tracker) failed(ctx context.Context, err error) {
+func (t *Tracker) recordFailure(ctx context.Context, err error) {
 	t.failures++
 	if t.failures == 1 && ctx.Err() == nil {
 		t.config.Logger.Warn("stream can't be read", "stream", t.config.Stream, "offset", t.next, "error", err)
 	}
 }
 
-// turn makes one read.
-func (t *Tracker) turn(ctx context.Context) error {
+// readOnce makes one read, or restores the state first.
+func (t *Tracker) readOnce(ctx context.Context) error {
 	if !t.restored {
 		return t.restore(ctx)
 	}
-	ctx, cancel := context.WithTimeout(ctx, t.config.Wait+callSlack)
+	ctx, cancel := context.WithTimeout(ctx, t.config.Wait+callMargin)
 	defer cancel()
 	page, err := t.config.Store.Read(ctx, t.config.Stream, t.next, t.config.Wait)
 	var trimmed *briarspring.TrimmedError
 	if errors.As(err, &trimmed) {
-		t.config.Logger.Info("stream is read anew", "stream", t.config.Stream, "offset", t.next, "first-kept", trimmed.First)
+		t.config.Logger.Info("records are no longer kept, restoring", "stream", t.config.Stream, "offset", t.next, "first-kept", trimmed.First)
 		t.restored = false
 		return t.restore(ctx)
 	}
@@ -171,7 +173,7 @@
 	return nil
 }
 
-// StaleError tells that an answer is older than one that came before.
+// StaleError is returned for an answer that is older than an earlier one.
 type StaleError struct {
 	Stream string
 	End    uint64
@@ -198,14 +200,14 @@
 	return nil
 }
 
-// Newest reads the newest record of every key of a stream, and the stream's end
-// when the reading began. Pages are read one after the other, so records at or
-// after the end may be among them. The error is a *StaleError when a page is older
-// than the first.
+// Newest returns the newest record of every key of a stream, and the stream's
+// end offset at the first page. Pages are read one after the other, so records
+// at or after that end may be among them. The error is a *StaleError when a page
+// is older than the first.
 func Newest(ctx context.Context, store Store, stream string) (records []briarspring.KeyedRecord, end uint64, err error) {
 	after := ""
 	for first := true; ; first = false {
-		callCtx, cancel := context.WithTimeout(ctx, callSlack)
+		callCtx, cancel := context.WithTimeout(ctx, callMargin)
 		page, more, err := store.Newest(callCtx, stream, after)
 		cancel()
 		if err != nil {
@@ -215,7 +217,7 @@
 			end = page.End
 		}
 		if page.End < end {
-			// A record before the end may be missing from this page for good.
+			// This page may lack a record before end, and it would never be read.
 			return nil, 0, &StaleError{Stream: stream, End: page.End, Known: end}
 		}
 		records = append(records, page.Records...)
--- a/tracker/tracker_test.go
+++ b/tracker/tracker_test.go
@@ -12,7 +12,7 @@
 	"briarspring/tracker"
 )
 
-// pages is a store that answers with pages one after the other.
+// pages is a store that returns the given pages in turn.
 type pages []briarspring.KeyedPage
 
 func (p *pages) Read(context.Context, string, uint64, time.Duration) (briarspring.KeyedPage, error) {
@@ -40,7 +40,7 @@
 		assert.Len(t, records, 3)
 		assert.EqualValues(t, 10, end)
 	})
-	// What was appended between the two ends would never be read.
+	// Records appended between the two ends would never be read.
 	t.Run("refuses a page that is older than the first", func(t *testing.T) {
 		_, _, err := tracker.Newest(t.Context(), &pages{page(10, "a", "b"), page(9, "c")}, "s")
 		var stale *tracker.StaleError
