--- a/applier/assign.go
+++ b/applier/assign.go
@@ -10,8 +10,8 @@
 // (Knuth's multiplicative hashing, 2^64 divided by the golden ratio).
 const hashMultiplier = 0x9E3779B97F4A7C15
 
-// assign gives n new tasks of a workload to data centres: executors in equal
-// parts, batch tasks in proportion to free processors.
+// assign distributes n new tasks of a workload over the data centres: executors
+// evenly, batch tasks in proportion to free processors.
 func (c *Config) assign(offset uint64, w *Workload, n uint32) {
 	if n == 0 {
 		return
@@ -19,16 +19,16 @@
 	first := w.nextIndex
 	w.nextIndex += n
 	c.dirty[w.id] = struct{}{}
-	c.split(offset, w, Span{First: first, End: first + n})
+	c.assignSpan(offset, w, Span{First: first, End: first + n})
 }
 
-// split gives a range of fresh tasks to the data centres that can take them,
-// or to none.
-func (c *Config) split(offset uint64, w *Workload, span Span) {
+// assignSpan distributes a range of fresh tasks over the data centres that can
+// run them. The tasks stay unassigned when there is none.
+func (c *Config) assignSpan(offset uint64, w *Workload, span Span) {
 	names, weights := c.candidates(w)
 	if len(names) == 0 {
 		w.shares = append(w.shares, Share{Offset: offset, Span: span})
-		c.leftovers[w.id] = struct{}{}
+		c.unassigned[w.id] = struct{}{}
 		return
 	}
 	var total uint64
@@ -52,7 +52,7 @@
 	}
 }
 
-// countBelow returns how many of n tasks have a position below the bound, where
+// countBelow returns how many of n tasks have a position less than below, where
 // task k has position (k*total+phase)/n.
 func countBelow(below, total, phase, n uint64) uint64 {
 	// (k*total+phase)/n < below holds for k < (below*n-phase)/total, rounded up.
@@ -62,14 +62,14 @@
 	return min(n, (below*n-phase+total-1)/total)
 }
 
-// candidates returns the data centres that can take tasks of a workload, in
-// order of name, with their weights.
+// candidates returns the data centres that can run tasks of a workload, sorted
+// by name, with their weights.
 func (c *Config) candidates(w *Workload) ([]string, []uint64) {
 	var names []string
 	var weights []uint64
 	for _, name := range sortedKeys(c.dataCentres) {
 		d := c.dataCentres[name]
-		if d.out || (d.summary.Workers > 0 && !w.Resources().Fits(d.summary.Largest)) {
+		if d.outOfService || (d.summary.Workers > 0 && !w.Resources().Fits(d.summary.Largest)) {
 			continue
 		}
 		names = append(names, name)
@@ -78,7 +78,8 @@
 	return names, weights
 }
 
-// weight returns the data centre's weight for new tasks, at least one.
+// weight returns the data centre's weight for new tasks, at least one. It is
+// the same for all data centres if equal is set.
 func (d *DataCentre) weight(equal bool) uint64 {
 	if equal {
 		return 1
@@ -87,28 +88,28 @@
 	return uint64(max(free, 0)) + uint64(d.summary.Capacity.MilliCPU())/16 + 1
 }
 
-// assignLeftovers assigns the tasks that no data centre could take before.
-func (c *Config) assignLeftovers(offset uint64) {
-	for _, id := range sortedKeys(c.leftovers) {
+// assignPending assigns the tasks that no data centre could run so far.
+func (c *Config) assignPending(offset uint64) {
+	for _, id := range sortedKeys(c.unassigned) {
 		w := c.workloads[id]
 		if w == nil {
-			delete(c.leftovers, id)
+			delete(c.unassigned, id)
 			continue
 		}
 		if names, _ := c.candidates(w); len(names) == 0 {
 			continue
 		}
-		delete(c.leftovers, id)
-		c.assignLeftoversOf(offset, w)
+		delete(c.unassigned, id)
+		c.assignPendingOf(offset, w)
 	}
 }
 
-func (c *Config) assignLeftoversOf(offset uint64, w *Workload) {
+func (c *Config) assignPendingOf(offset uint64, w *Workload) {
 	old := w.shares
 	w.shares = nil
 	for _, s := range old {
 		if s.DataCentre == "" {
-			c.split(offset, w, s.Span)
+			c.assignSpan(offset, w, s.Span)
 		} else {
 			w.shares = append(w.shares, s)
 		}
@@ -116,31 +117,32 @@
 	c.dirty[w.id] = struct{}{}
 }
 
-// applyTransfer moves tasks from their data centre to another one. Tasks that
-// the giver does not hold, or got after it decided, stay where they are.
+// applyTransfer reassigns tasks from one data centre to another. Tasks that are
+// not assigned to the source, or were assigned to it after it decided on the
+// transfer, stay where they are.
 func (c *Config) applyTransfer(offset uint64, t briarspring.Transfer) {
 	w := c.workloads[t.Workload]
 	if w == nil || t.From == t.To {
 		return
 	}
-	give := make(map[uint32]briarspring.TaskState, len(t.Tasks))
+	states := make(map[uint32]briarspring.TaskState, len(t.Tasks))
 	for _, task := range t.Tasks {
-		give[task.Index] = task
+		states[task.Index] = task
 	}
-	taken := w.takeOut(give, func(s Share) bool { return s.DataCentre == t.From && s.Offset <= t.Granted })
-	if len(taken) == 0 {
+	removed := w.removeTasks(states, func(s Share) bool { return s.DataCentre == t.From && s.Offset <= t.Granted })
+	if len(removed) == 0 {
 		return
 	}
-	w.shares = append(w.shares, Share{DataCentre: t.To, Offset: offset, Tasks: taken})
+	w.shares = append(w.shares, Share{DataCentre: t.To, Offset: offset, Tasks: removed})
 	c.dirty[w.id] = struct{}{}
 }
 
-// takeOut removes tasks from the shares that match and returns their states in
-// order of index.
-func (w *Workload) takeOut(give map[uint32]briarspring.TaskState, match func(Share) bool) []briarspring.TaskState {
-	indexes := sortedKeys(give)
+// removeTasks removes the given tasks, by index, from the matching shares. It
+// returns the states of the removed ones, sorted by index.
+func (w *Workload) removeTasks(states map[uint32]briarspring.TaskState, match func(Share) bool) []briarspring.TaskState {
+	indexes := sortedKeys(states)
 	var kept []Share
-	var taken []briarspring.TaskState
+	var removed []briarspring.TaskState
 	for _, s := range w.shares {
 		if !match(s) {
 			kept = append(kept, s)
@@ -151,15 +153,15 @@
 		at, _ := slices.BinarySearch(indexes, s.Span.First)
 		for ; at < len(indexes) && indexes[at] < s.Span.End; at++ {
 			rest.remove(indexes[at])
-			taken = append(taken, give[indexes[at]])
+			removed = append(removed, states[indexes[at]])
 		}
 		for _, span := range rest {
 			kept = append(kept, Share{DataCentre: s.DataCentre, Offset: s.Offset, Span: span})
 		}
 		var list []briarspring.TaskState
 		for _, t := range s.Tasks {
-			if state, ok := give[t.Index]; ok {
-				taken = append(taken, state)
+			if state, ok := states[t.Index]; ok {
+				removed = append(removed, state)
 			} else {
 				list = append(list, t)
 			}
@@ -169,11 +171,11 @@
 		}
 	}
 	w.shares = kept
-	slices.SortFunc(taken, func(a, b briarspring.TaskState) int { return int(a.Index) - int(b.Index) })
-	return taken
+	slices.SortFunc(removed, func(a, b briarspring.TaskState) int { return int(a.Index) - int(b.Index) })
+	return removed
 }
 
-// sortedValues returns the values of m in order of key.
+// sortedValues returns the values of m sorted by key.
 func sortedValues[V any](m map[string]V) []V {
 	values := make([]V, 0, len(m))
 	for _, k := range sortedKeys(m) {
--- a/applier/chunk.go
+++ b/applier/chunk.go
@@ -5,13 +5,13 @@
 	"briarspring/encoder"
 )
 
-// ChunkSize is the number of snapshot bytes in one record.
+// ChunkSize is the maximum number of snapshot bytes in one record.
 const ChunkSize = 256 << 10
 
-// maxChunks bounds the memory that chunks of one snapshot may claim.
+// maxChunks bounds the memory for the chunks of one snapshot.
 const maxChunks = 4096
 
-// Chunks cuts a snapshot that covers an offset into records' bodies.
+// Chunks splits the snapshot up to the offset covers into record bodies.
 func Chunks(covers uint64, data []byte) []briarspring.SnapshotChunk {
 	sum := encoder.Checksum(data)
 	count := uint32((len(data) + ChunkSize - 1) / ChunkSize)
@@ -26,8 +26,8 @@
 	return chunks
 }
 
-// Collector puts the chunks of snapshots together again. Chunks of several
-// writers may stand mixed in a stream.
+// Collector reassembles snapshots from their chunks. Chunks of several writers
+// may be interleaved in a stream.
 type Collector struct {
 	parts map[collectorKey][]briarspring.SnapshotChunk
 }
@@ -38,8 +38,8 @@
 	sum    uint64
 }
 
-// Add takes one chunk. It returns the whole snapshot when the chunk was the
-// last one missing and the checksum is right.
+// Add adds one chunk. It returns the snapshot and true when the chunk completes
+// it and the checksum matches.
 func (c *Collector) Add(writer briarspring.Writer, chunk briarspring.SnapshotChunk) ([]byte, bool) {
 	if chunk.Index >= chunk.Count || chunk.Count > maxChunks {
 		return nil, false
@@ -50,7 +50,8 @@
 	key := collectorKey{writer: writer, covers: chunk.Covers, sum: chunk.Checksum}
 	parts := c.parts[key]
 	if int(chunk.Index) != len(parts) {
-		// A chunk is missing or repeated; only a run in order is usable.
+		// A chunk is missing or repeated. Only chunks in order are usable, so
+		// collecting starts over at the first one.
 		if chunk.Index != 0 {
 			return nil, false
 		}
--- a/applier/config.go
+++ b/applier/config.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// maxAnswers bounds the request ids whose answers are remembered.
+	// maxAnswers bounds the request ids whose answers are kept.
 	maxAnswers = 10000
 	// maxFinishedJobs bounds the finished jobs that stay listed.
 	maxFinishedJobs = 10000
@@ -14,53 +14,53 @@
 // Answer is the outcome of an operator's command.
 type Answer struct {
 	RequestID string
-	Offset    uint64 // Of the command's record.
-	Version   uint64 // In force after an accepted command.
+	Offset    uint64 // Offset of the command's record.
+	Version   uint64 // The object's version after an accepted command.
 	Err       error  // Why the command was refused; nil when accepted.
 }
 
-// Config is the state of the configuration stream.
+// Config is the state built from the configuration stream.
 type Config struct {
-	applied     uint64
-	writers     writers
-	workloads   map[briarspring.WorkloadID]*Workload
-	services    map[string]*Workload
-	jobs        map[string]*Workload
-	quotas      map[string]*VersionedQuota
-	dataCentres map[string]*DataCentre
-	lost        map[string]uint64
-	answers     map[string]Answer
-	answerOrder []string
-	finished    []briarspring.WorkloadID
-	dirty       map[briarspring.WorkloadID]struct{}
-	leftovers   map[briarspring.WorkloadID]struct{} // With tasks that no data centre holds.
+	applied      uint64
+	writers      writers
+	workloads    map[briarspring.WorkloadID]*Workload
+	services     map[string]*Workload
+	jobs         map[string]*Workload
+	quotas       map[string]*VersionedQuota
+	dataCentres  map[string]*DataCentre
+	lostWorkers  map[string]uint64
+	answers      map[string]Answer
+	answerOrder  []string
+	finishedJobs []briarspring.WorkloadID
+	dirty        map[briarspring.WorkloadID]struct{}
+	unassigned   map[briarspring.WorkloadID]struct{} // Workloads with unassigned tasks.
 }
 
-// VersionedQuota is a quota with the version that put it in force.
+// VersionedQuota is a quota with its version.
 type VersionedQuota struct {
 	Quota   briarspring.Quota
 	Version uint64
 }
 
-// DataCentre is what the configuration stream knows of a data centre.
+// DataCentre is the state of a data centre in the configuration stream.
 type DataCentre struct {
-	name      string
-	out       bool
-	version   uint64
-	changedAt uint64
-	summary   briarspring.Summary
+	name         string
+	outOfService bool
+	version      uint64
+	changedAt    uint64
+	summary      briarspring.Summary
 }
 
 // Name returns the data centre's name.
 func (d *DataCentre) Name() string { return d.name }
 
-// Out reports whether operators took the data centre out of service.
-func (d *DataCentre) Out() bool { return d.out }
+// Out reports whether an operator took the data centre out of service.
+func (d *DataCentre) Out() bool { return d.outOfService }
 
 // Version returns the offset of the last command on the data centre.
 func (d *DataCentre) Version() uint64 { return d.version }
 
-// Summary returns what the data centre's owner last published.
+// Summary returns the last summary that the data centre's owner published.
 func (d *DataCentre) Summary() briarspring.Summary { return d.summary }
 
 // NewConfig returns the state before the first record.
@@ -72,62 +72,64 @@
 		jobs:        map[string]*Workload{},
 		quotas:      map[string]*VersionedQuota{},
 		dataCentres: map[string]*DataCentre{},
-		lost:        map[string]uint64{},
+		lostWorkers: map[string]uint64{},
 		answers:     map[string]Answer{},
 		dirty:       map[briarspring.WorkloadID]struct{}{},
-		leftovers:   map[briarspring.WorkloadID]struct{}{},
+		unassigned:  map[briarspring.WorkloadID]struct{}{},
 	}
 }
 
 // Applied returns the offset of the last applied record.
 func (c *Config) Applied() uint64 { return c.applied }
 
-// Sequence returns the last incarnation and sequence seen of a writer.
+// Sequence returns the last applied incarnation and sequence number of a writer.
 func (c *Config) Sequence(writer string) (incarnation, sequence uint64) {
 	s := c.writers[writer]
 	return s.incarnation, s.sequence
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (c *Config) Service(name string) *Workload { return c.services[name] }
 
-// Job returns the job of that name, or nil.
+// Job returns the job with the given name, or nil.
 func (c *Config) Job(name string) *Workload { return c.jobs[name] }
 
-// Workload returns the workload of that id, or nil.
+// Workload returns the workload with the given id, or nil.
 func (c *Config) Workload(id briarspring.WorkloadID) *Workload { return c.workloads[id] }
 
 // Quota returns a team's quota, or nil.
 func (c *Config) Quota(team string) *VersionedQuota { return c.quotas[team] }
 
-// DataCentre returns the data centre of that name, or nil.
+// DataCentre returns the data centre with the given name, or nil.
 func (c *Config) DataCentre(name string) *DataCentre { return c.dataCentres[name] }
 
-// LostAt returns the offset at which operators declared a worker lost, or zero.
-func (c *Config) LostAt(worker string) uint64 { return c.lost[worker] }
+// LostAt returns the offset of the last command that declared a worker lost, or
+// zero.
+func (c *Config) LostAt(worker string) uint64 { return c.lostWorkers[worker] }
 
-// Answer returns the remembered answer to a request id.
+// Answer returns the answer to a request id, if it is still kept.
 func (c *Config) Answer(requestID string) (Answer, bool) {
 	a, ok := c.answers[requestID]
 	return a, ok
 }
 
-// Services returns all services in order of name.
+// Services returns all services sorted by name.
 func (c *Config) Services() []*Workload { return sortedValues(c.services) }
 
-// Jobs returns all listed jobs in order of name.
+// Jobs returns all listed jobs sorted by name.
 func (c *Config) Jobs() []*Workload { return sortedValues(c.jobs) }
 
-// Quotas returns all quotas in order of team.
+// Quotas returns all quotas sorted by team.
 func (c *Config) Quotas() []*VersionedQuota { return sortedValues(c.quotas) }
 
-// DataCentres returns all data centres in order of name.
+// DataCentres returns all data centres sorted by name.
 func (c *Config) DataCentres() []*DataCentre { return sortedValues(c.dataCentres) }
 
-// Workloads returns the ids of all workloads in order.
+// Workloads returns the sorted ids of all workloads.
 func (c *Config) Workloads() []briarspring.WorkloadID { return sortedKeys(c.workloads) }
 
-// TakeDirty returns the workloads that changed since the last call, in order.
+// TakeDirty returns the sorted ids of the workloads that changed since the last
+// call.
 func (c *Config) TakeDirty() []briarspring.WorkloadID {
 	ids := sortedKeys(c.dirty)
 	clear(c.dirty)
@@ -141,9 +143,9 @@
 	}
 }
 
-// Apply applies the record at an offset. It returns the answer to the record's
-// command, if it holds one that was not applied before. Records at or below
-// the applied offset have no effect.
+// Apply applies the record at an offset. It returns true and the answer if the
+// record is new and holds a command. Records at or below the applied offset have
+// no effect.
 func (c *Config) Apply(offset uint64, r briarspring.Record) (Answer, bool) {
 	if offset <= c.applied {
 		return Answer{}, false
@@ -154,7 +156,7 @@
 	}
 	switch b := r.Body.(type) {
 	case briarspring.Command:
-		return c.command(offset, b), true
+		return c.applyCommand(offset, b), true
 	case briarspring.Summary:
 		c.applySummary(offset, b)
 	case briarspring.Transfer:
@@ -163,20 +165,21 @@
 	return Answer{}, false
 }
 
-// Skip moves past an offset whose record can't be decoded or concerns nobody.
+// Skip advances the applied offset past a record that can't be decoded or is not
+// meant for the state.
 func (c *Config) Skip(offset uint64) { c.applied = max(c.applied, offset) }
 
-func (c *Config) command(offset uint64, cmd briarspring.Command) Answer {
+func (c *Config) applyCommand(offset uint64, cmd briarspring.Command) Answer {
 	if a, ok := c.answers[cmd.RequestID]; ok && cmd.RequestID != "" {
 		return a
 	}
-	version, err := c.change(offset, cmd)
+	version, err := c.applyChange(offset, cmd)
 	a := Answer{RequestID: cmd.RequestID, Offset: offset, Version: version, Err: err}
-	c.remember(a)
+	c.storeAnswer(a)
 	return a
 }
 
-func (c *Config) remember(a Answer) {
+func (c *Config) storeAnswer(a Answer) {
 	if a.RequestID == "" {
 		return
 	}
@@ -188,7 +191,7 @@
 	}
 }
 
-func (c *Config) change(offset uint64, cmd briarspring.Command) (uint64, error) {
+func (c *Config) applyChange(offset uint64, cmd briarspring.Command) (uint64, error) {
 	switch ch := cmd.Change.(type) {
 	case briarspring.PutService:
 		return c.putService(offset, cmd.ExpectedVersion, ch.Service)
@@ -205,18 +208,18 @@
 	case briarspring.CancelJobs:
 		return c.cancelJobs(offset, ch.Names)
 	case briarspring.TakeOut:
-		return c.setOut(offset, cmd.ExpectedVersion, ch.DataCentre, true)
+		return c.setOutOfService(offset, cmd.ExpectedVersion, ch.DataCentre, true)
 	case briarspring.Return:
-		return c.setOut(offset, cmd.ExpectedVersion, ch.DataCentre, false)
+		return c.setOutOfService(offset, cmd.ExpectedVersion, ch.DataCentre, false)
 	case briarspring.DeclareLost:
-		c.lost[ch.Worker] = offset
+		c.lostWorkers[ch.Worker] = offset
 		return offset, nil
 	}
 	return 0, &briarspring.InvalidError{Object: "command", Reason: "unknown change"}
 }
 
-// checkVersion compares the version a command was based on with the one in
-// force; zero is the version of an object that does not exist.
+// checkVersion compares the version that a command is based on with the current
+// one. The version of an object that does not exist is zero.
 func checkVersion(object string, expected, inForce uint64) error {
 	if expected == inForce {
 		return nil
@@ -251,7 +254,7 @@
 	return offset, nil
 }
 
-func (c *Config) setOut(offset, expected uint64, name string, out bool) (uint64, error) {
+func (c *Config) setOutOfService(offset, expected uint64, name string, out bool) (uint64, error) {
 	d := c.dataCentres[name]
 	if d == nil {
 		return 0, &briarspring.NotFoundError{Object: "data-centre/" + name}
@@ -259,7 +262,7 @@
 	if err := checkVersion("data-centre/"+name, expected, d.version); err != nil {
 		return 0, err
 	}
-	d.out = out
+	d.outOfService = out
 	d.version = offset
 	return offset, nil
 }
@@ -280,7 +283,7 @@
 	for _, p := range progress {
 		c.applyProgress(offset, s.DataCentre, p)
 	}
-	c.assignLeftovers(offset)
+	c.assignPending(offset)
 }
 
 func (c *Config) applyProgress(offset uint64, dataCentre string, p briarspring.Progress) {
@@ -295,15 +298,15 @@
 	w.finished = true
 	w.shares = nil
 	c.dirty[w.id] = struct{}{}
-	c.finished = append(c.finished, w.id)
-	if len(c.finished) > maxFinishedJobs {
-		c.drop(c.workloads[c.finished[0]])
-		c.finished = c.finished[1:]
+	c.finishedJobs = append(c.finishedJobs, w.id)
+	if len(c.finishedJobs) > maxFinishedJobs {
+		c.removeWorkload(c.workloads[c.finishedJobs[0]])
+		c.finishedJobs = c.finishedJobs[1:]
 	}
 }
 
-// drop removes a workload; nil is none.
-func (c *Config) drop(w *Workload) {
+// removeWorkload removes a workload. It does nothing for nil.
+func (c *Config) removeWorkload(w *Workload) {
 	if w == nil {
 		return
 	}
--- a/applier/config_test.go
+++ b/applier/config_test.go
@@ -120,7 +120,7 @@
 		require.NoError(t, c.change("a", 0, job(t, "index", n, amount(1, 1000, 0))).Err)
 		w := c.conf.Job("index")
 		for i := range 20 {
-			from, to := place(random), place(random)
+			from, to := randomDataCentre(random), randomDataCentre(random)
 			c.append(briarspring.Transfer{
 				Workload: w.ID(), From: from, To: to, Granted: uint64(random.IntN(int(c.conf.Applied()) + 1)),
 				Tasks: []briarspring.TaskState{{Index: uint32(random.IntN(int(n))), Attempt: uint32(i)}, {Index: uint32(random.IntN(int(n)))}},
@@ -140,7 +140,7 @@
 	}
 }
 
-func place(r *rand.Rand) string { return []string{"tartu", "viljandi", "voru"}[r.IntN(3)] }
+func randomDataCentre(r *rand.Rand) string { return []string{"tartu", "viljandi", "voru"}[r.IntN(3)] }
 
 func TestConfigTransferOfOldGrantIsVoid(t *testing.T) {
 	c := newCommands(t)
@@ -232,6 +232,6 @@
 	_, ok = collect(chunks[0], torn, chunks[2])
 	assert.False(t, ok, "a torn chunk")
 	whole, ok = collect(chunks[0], chunks[0], chunks[1], chunks[2])
-	assert.True(t, ok, "a writer that begins again")
+	assert.True(t, ok, "a writer that starts over")
 	assert.Equal(t, data, whole)
 }
--- a/applier/event.go
+++ b/applier/event.go
@@ -8,14 +8,14 @@
 	"briarspring"
 )
 
-// Outcome tells what became of one event.
+// Outcome is the result of applying one event.
 type Outcome struct {
 	Event briarspring.Event
 	Err   error // A *briarspring.VoidError when the event has no effect.
 }
 
-// Apply applies the record at an offset and tells what became of its events.
-// Records at or below the applied offset, and repeats, return nil.
+// Apply applies the record at an offset and returns the outcomes of its events.
+// It returns nil for records at or below the applied offset and for duplicates.
 func (p *Placement) Apply(offset uint64, r briarspring.Record) []Outcome {
 	if offset <= p.applied {
 		return nil
@@ -30,7 +30,7 @@
 	}
 	outcomes := make([]Outcome, 0, len(batch.Events))
 	for _, e := range batch.Events {
-		err := p.event(r.Writer, batch.Epoch, e)
+		err := p.applyEvent(r.Writer, batch.Epoch, e)
 		if err != nil {
 			p.counts.Void++
 		}
@@ -39,22 +39,22 @@
 	return outcomes
 }
 
-// Skip moves past an offset whose record can't be decoded.
+// Skip advances the applied offset past a record that can't be decoded.
 func (p *Placement) Skip(offset uint64) { p.applied = max(p.applied, offset) }
 
-func void(e briarspring.Event, format string, args ...any) error {
+func newVoidError(e briarspring.Event, format string, args ...any) error {
 	return &briarspring.VoidError{Event: fmt.Sprintf("%T", e)[len("briarspring."):], Reason: fmt.Sprintf(format, args...)}
 }
 
-func (p *Placement) event(writer briarspring.Writer, epoch uint64, event briarspring.Event) error {
+func (p *Placement) applyEvent(writer briarspring.Writer, epoch uint64, event briarspring.Event) error {
 	if e, ok := event.(briarspring.Claim); ok {
-		return p.claim(writer, epoch, e)
+		return p.applyClaim(writer, epoch, e)
 	}
 	if epoch != p.epoch || writer != p.owner {
-		return void(event, "epoch %d of %s is not epoch %d of %s", epoch, writer.Name, p.epoch, p.owner.Name)
+		return newVoidError(event, "epoch %d of %s is not epoch %d of %s", epoch, writer.Name, p.epoch, p.owner.Name)
 	}
 	if p.resigned {
-		return void(event, "the owner has resigned")
+		return newVoidError(event, "the owner resigned")
 	}
 	switch e := event.(type) {
 	case briarspring.Beat:
@@ -63,32 +63,32 @@
 		p.resigned = true
 		return nil
 	case briarspring.WorkerJoin:
-		return p.workerJoin(e)
+		return p.applyWorkerJoin(e)
 	case briarspring.WorkerGone:
-		return p.workerGone(e)
+		return p.applyWorkerGone(e)
 	case briarspring.Adopt:
-		return p.adopt(e)
+		return p.applyAdopt(e)
 	case briarspring.Start:
-		return p.start(e)
+		return p.applyStart(e)
 	case briarspring.Ready:
-		return p.ready(e)
+		return p.applyReady(e)
 	case briarspring.End:
-		return p.end(e)
+		return p.applyEnd(e)
 	case briarspring.EvictIntent:
-		return p.evictIntent(e)
+		return p.applyEvictIntent(e)
 	case briarspring.Release:
-		return p.release(e)
+		return p.applyRelease(e)
 	case briarspring.Cancel:
-		return p.cancel(e)
+		return p.applyCancel(e)
 	case briarspring.Forget:
-		return p.forget(e)
+		return p.applyForget(e)
 	}
-	return void(event, "unknown event")
+	return newVoidError(event, "unknown event")
 }
 
-func (p *Placement) claim(writer briarspring.Writer, epoch uint64, e briarspring.Claim) error {
+func (p *Placement) applyClaim(writer briarspring.Writer, epoch uint64, e briarspring.Claim) error {
 	if epoch != p.epoch+1 {
-		return void(e, "epoch %d does not follow epoch %d", epoch, p.epoch)
+		return newVoidError(e, "epoch %d does not follow epoch %d", epoch, p.epoch)
 	}
 	p.epoch = epoch
 	p.owner = writer
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (p *Placement) workerJoin(e briarspring.WorkerJoin) error {
+func (p *Placement) applyWorkerJoin(e briarspring.WorkerJoin) error {
 	w := p.byName[e.Name]
 	if w == nil {
 		w = &Worker{number: uint32(len(p.workers)) + 1, name: e.Name, tasks: map[briarspring.TaskID]*Task{}}
@@ -107,7 +107,7 @@
 		p.loseTasks(w)
 	}
 	if !w.committed.Fits(e.Capacity) {
-		return void(e, "open attempts hold %s of %s", w.committed, e.Capacity)
+		return newVoidError(e, "open attempts hold %s of %s", w.committed, e.Capacity)
 	}
 	w.incarnation = e.Incarnation
 	w.rack = e.Rack
@@ -116,21 +116,21 @@
 	return nil
 }
 
-func (p *Placement) workerGone(e briarspring.WorkerGone) error {
+func (p *Placement) applyWorkerGone(e briarspring.WorkerGone) error {
 	w := p.Worker(e.Worker)
 	if w == nil {
-		return void(e, "worker %d is not known", e.Worker)
+		return newVoidError(e, "worker %d is unknown", e.Worker)
 	}
-	w.declared = max(w.declared, e.Declared)
+	w.declaredLostAt = max(w.declaredLostAt, e.Declared)
 	if w.gone {
-		return void(e, "worker %s is gone already", w.name)
+		return newVoidError(e, "worker %s is already gone", w.name)
 	}
 	p.loseTasks(w)
 	w.gone = true
 	return nil
 }
 
-// loseTasks ends every open attempt on a worker.
+// loseTasks ends every open attempt on a worker with EndLost.
 func (p *Placement) loseTasks(w *Worker) {
 	for _, id := range w.Tasks() {
 		l := p.loads[id.Workload]
@@ -138,12 +138,12 @@
 	}
 }
 
-func (p *Placement) adopt(e briarspring.Adopt) error {
-	if e.Seen < p.seen {
-		return void(e, "the writer had read the configuration to %d, not to %d", e.Seen, p.seen)
+func (p *Placement) applyAdopt(e briarspring.Adopt) error {
+	if e.Seen < p.minSeen {
+		return newVoidError(e, "the writer had read the configuration up to %d, not %d", e.Seen, p.minSeen)
 	}
 	if !(briarspring.Resources{}).Fits(e.Resources) {
-		return void(e, "a task needs %s", e.Resources)
+		return newVoidError(e, "a task needs %s", e.Resources)
 	}
 	l := p.loads[e.Workload]
 	if l == nil {
@@ -154,7 +154,7 @@
 		p.loads[e.Workload] = l
 	}
 	if e.Offset <= l.offset {
-		return void(e, "offset %d was adopted before", e.Offset)
+		return newVoidError(e, "offset %d was already adopted", e.Offset)
 	}
 	l.offset = e.Offset
 	l.fresh.add(e.First, e.End)
@@ -183,11 +183,11 @@
 		return
 	}
 	t.checkpoint = s.Checkpoint
-	l.wait(t)
+	l.requeue(t)
 }
 
-// wait makes a task placeable again.
-func (l *Load) wait(t *Task) {
+// requeue makes a task requeue for an attempt again.
+func (l *Load) requeue(t *Task) {
 	if t.phase == PhaseReleased {
 		l.released--
 	}
@@ -199,32 +199,32 @@
 	l.waiting[t.index] = struct{}{}
 }
 
-func (p *Placement) start(e briarspring.Start) error {
+func (p *Placement) applyStart(e briarspring.Start) error {
 	l := p.loads[e.Attempt.Task.Workload]
 	if l == nil {
-		return void(e, "workload %d is not held here", e.Attempt.Task.Workload)
+		return newVoidError(e, "workload %d is not adopted here", e.Attempt.Task.Workload)
 	}
 	w := p.Worker(e.Worker)
 	if w == nil || w.gone {
-		return void(e, "worker %d is gone", e.Worker)
+		return newVoidError(e, "worker %d is gone", e.Worker)
 	}
 	index := e.Attempt.Task.Index
 	t := l.tasks[index]
 	if t == nil && l.fresh.find(index) < 0 {
-		return void(e, "task %s does not wait here", e.Attempt.Task)
+		return newVoidError(e, "task %s is not waiting in this data centre", e.Attempt.Task)
 	}
 	if t != nil && t.phase != PhaseWaiting {
-		return void(e, "task %s is %s", e.Attempt.Task, t.phase)
+		return newVoidError(e, "task %s is %s", e.Attempt.Task, t.phase)
 	}
 	var last uint32
 	if t != nil {
 		last = t.attempt
 	}
 	if e.Attempt.Attempt != last+1 {
-		return void(e, "attempt %d does not follow attempt %d", e.Attempt.Attempt, last)
+		return newVoidError(e, "attempt %d does not follow attempt %d", e.Attempt.Attempt, last)
 	}
 	if !l.resources.Fits(w.Free()) {
-		return void(e, "worker %s has %s free, the task needs %s", w.name, w.Free(), l.resources)
+		return newVoidError(e, "worker %s has %s free, the task needs %s", w.name, w.Free(), l.resources)
 	}
 	if t == nil {
 		l.fresh.remove(index)
@@ -242,35 +242,35 @@
 	return nil
 }
 
-func (p *Placement) ready(e briarspring.Ready) error {
+func (p *Placement) applyReady(e briarspring.Ready) error {
 	t := p.Open(e.Attempt)
 	if t == nil {
-		return void(e, "attempt %s is not open", e.Attempt)
+		return newVoidError(e, "attempt %s is not open", e.Attempt)
 	}
 	t.address = e.Address
 	return nil
 }
 
-func (p *Placement) evictIntent(e briarspring.EvictIntent) error {
+func (p *Placement) applyEvictIntent(e briarspring.EvictIntent) error {
 	t := p.Open(e.Attempt)
 	if t == nil {
-		return void(e, "attempt %s is not open", e.Attempt)
+		return newVoidError(e, "attempt %s is not open", e.Attempt)
 	}
 	t.evicting = true
 	return nil
 }
 
-func (p *Placement) end(e briarspring.End) error {
+func (p *Placement) applyEnd(e briarspring.End) error {
 	t := p.Open(e.Attempt)
 	if t == nil {
-		return void(e, "attempt %s is not open", e.Attempt)
+		return newVoidError(e, "attempt %s is not open", e.Attempt)
 	}
 	p.closeAttempt(p.loads[e.Attempt.Task.Workload], t, e.Reason, e.Checkpoint)
 	return nil
 }
 
-// closeAttempt frees what the open attempt of a task holds and decides where
-// the task stands next.
+// closeAttempt releases the resources of a task's open attempt and sets the
+// task's next phase, or removes the task.
 func (p *Placement) closeAttempt(l *Load, t *Task, reason briarspring.EndReason, checkpoint uint64) {
 	id := briarspring.TaskID{Workload: l.id, Index: t.index}
 	w := p.Worker(t.worker)
@@ -297,18 +297,18 @@
 		t.worker = 0
 		l.failed++
 	default:
-		l.wait(t)
+		l.requeue(t)
 	}
 }
 
-func (p *Placement) release(e briarspring.Release) error {
+func (p *Placement) applyRelease(e briarspring.Release) error {
 	l := p.loads[e.Workload]
 	if l == nil {
-		return void(e, "workload %d is not held here", e.Workload)
+		return newVoidError(e, "workload %d is not adopted here", e.Workload)
 	}
 	for i, index := range e.Indexes {
-		if !l.waits(index) || i > 0 && index <= e.Indexes[i-1] {
-			return void(e, "task %d/%d does not wait here", e.Workload, index)
+		if !l.isWaiting(index) || i > 0 && index <= e.Indexes[i-1] {
+			return newVoidError(e, "task %d/%d is not waiting in this data centre", e.Workload, index)
 		}
 	}
 	for _, index := range e.Indexes {
@@ -326,18 +326,18 @@
 	return nil
 }
 
-// waits reports whether a task waits for an attempt.
-func (l *Load) waits(index uint32) bool {
+// isWaiting reports whether a task isWaiting for an attempt.
+func (l *Load) isWaiting(index uint32) bool {
 	_, waits := l.waiting[index]
 	return waits || l.fresh.find(index) >= 0
 }
 
-func (p *Placement) cancel(e briarspring.Cancel) error {
+func (p *Placement) applyCancel(e briarspring.Cancel) error {
 	l := p.loads[e.Workload]
 	if l == nil {
-		return void(e, "workload %d is not held here", e.Workload)
+		return newVoidError(e, "workload %d is not adopted here", e.Workload)
 	}
-	l.fresh.cut(e.First, e.End)
+	l.fresh.removeRange(e.First, e.End)
 	for index, t := range l.tasks {
 		if index < e.First || index >= e.End {
 			continue
@@ -356,16 +356,16 @@
 	return nil
 }
 
-func (p *Placement) forget(e briarspring.Forget) error {
+func (p *Placement) applyForget(e briarspring.Forget) error {
 	l := p.loads[e.Workload]
 	if l == nil {
-		return void(e, "workload %d is not held here", e.Workload)
+		return newVoidError(e, "workload %d is not adopted here", e.Workload)
 	}
 	if l.placed > 0 || l.Waiting() > 0 {
-		return void(e, "workload %d has %d open attempts and %d waiting tasks", e.Workload, l.placed, l.Waiting())
+		return newVoidError(e, "workload %d has %d open attempts and %d waiting tasks", e.Workload, l.placed, l.Waiting())
 	}
 	delete(p.loads, e.Workload)
-	p.seen = max(p.seen, e.Seen)
+	p.minSeen = max(p.minSeen, e.Seen)
 	return nil
 }
 
--- a/applier/fuzz_test.go
+++ b/applier/fuzz_test.go
@@ -10,12 +10,12 @@
 	"briarspring/encoder"
 )
 
-// FuzzRestorePlacement checks that no bytes of a snapshot make the decoder
-// fail otherwise than by its error.
+// FuzzRestorePlacement checks that the decoder of placement snapshots returns an
+// error or a usable state for any input.
 func FuzzRestorePlacement(f *testing.F) {
 	s := newStream(&testing.T{})
 	s.apply(owner, 1, start(0, 1, 1))
-	data, err := s.place.Snapshot()
+	data, err := s.placement.Snapshot()
 	require.NoError(f, err)
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -28,7 +28,7 @@
 	})
 }
 
-// FuzzRestoreConfig does the same for the configuration.
+// FuzzRestoreConfig does the same for configuration snapshots.
 func FuzzRestoreConfig(f *testing.F) {
 	c := newCommands(&testing.T{})
 	data, err := c.conf.Snapshot()
@@ -44,7 +44,8 @@
 	})
 }
 
-// FuzzApply applies any record that can be decoded to a state.
+// FuzzApply applies arbitrary decodable records and checks that no worker is
+// overcommitted.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte{0x0a, 0x01, 'w', 0x18, 0x01, 0x3a, 0x02, 0x08, 0x01})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -56,9 +57,9 @@
 		s.ok(owner, 1, start(0, 1, 1))
 		r.Writer = owner
 		r.Sequence = 1 << 40
-		s.place.Apply(s.place.Applied()+1, r)
+		s.placement.Apply(s.placement.Applied()+1, r)
 		newCommands(t).conf.Apply(100, r)
-		for _, w := range s.place.Workers() {
+		for _, w := range s.placement.Workers() {
 			assert.True(t, w.Committed().Fits(w.Capacity()))
 		}
 	})
--- a/applier/placement.go
+++ b/applier/placement.go
@@ -6,15 +6,15 @@
 	"briarspring"
 )
 
-// Phase is where a task stands in its data centre.
+// Phase is the state of a task in its data centre.
 type Phase uint8
 
 // The phases of a task. Finished tasks are not kept.
 const (
 	PhaseWaiting  Phase = iota // No attempt is open.
 	PhasePlaced                // An attempt is open on a worker.
-	PhaseReleased              // To be transferred to another data centre.
-	PhaseFailed                // Given up after too many failures.
+	PhaseReleased              // The task waits for its transfer to another data centre.
+	PhaseFailed                // The task failed too often and is not retried.
 )
 
 // String returns the phase in kebab case.
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("phase-%d", uint8(p))
 }
 
-// Task is a task that has been started, transferred or given up. Fresh tasks
-// stand in their workload's spans only.
+// Task is a task that has been started, released, transferred or has failed for
+// good. Fresh tasks, which were never started, exist only as spans of indexes.
 type Task struct {
 	index      uint32
 	attempt    uint32
@@ -50,78 +50,79 @@
 // Index returns the task's index in its workload.
 func (t *Task) Index() uint32 { return t.index }
 
-// Attempt returns the number of the last attempt; zero when none was started.
+// Attempt returns the number of the last attempt, or zero when none was started.
 func (t *Task) Attempt() uint32 { return t.attempt }
 
-// Worker returns the number of the worker that the open attempt is on.
+// Worker returns the number of the worker that runs the open attempt.
 func (t *Task) Worker() uint32 { return t.worker }
 
-// Failures returns how often the task failed by itself.
+// Failures returns how many attempts ended with EndFailed.
 func (t *Task) Failures() uint32 { return t.failures }
 
 // Checkpoint returns the checkpoint to resume from, or zero.
 func (t *Task) Checkpoint() uint64 { return t.checkpoint }
 
-// Phase returns where the task stands.
+// Phase returns the task's phase.
 func (t *Task) Phase() Phase { return t.phase }
 
-// Cancelled reports whether the task ends with its open attempt.
+// Cancelled reports whether the task is removed when its open attempt ends.
 func (t *Task) Cancelled() bool { return t.cancelled }
 
-// Evicting reports whether the open attempt is to be stopped.
+// Evicting reports whether the open attempt is being evicted.
 func (t *Task) Evicting() bool { return t.evicting }
 
-// Address returns where an executor takes requests, once it is ready.
+// Address returns the address on which an executor serves requests, once it is
+// ready.
 func (t *Task) Address() string { return t.address }
 
-// ReleasedTo returns the data centre that a released task goes to.
+// ReleasedTo returns the destination data centre of a released task.
 func (t *Task) ReleasedTo() string { return t.releasedTo }
 
-// Worker is a worker of the data centre as the placement stream knows it.
+// Worker is the state of a worker in the placement stream.
 type Worker struct {
-	number      uint32
-	name        string
-	incarnation uint64
-	rack        string
-	capacity    briarspring.Resources
-	committed   briarspring.Resources
-	gone        bool
-	declared    uint64
-	tasks       map[briarspring.TaskID]*Task
+	number         uint32
+	name           string
+	incarnation    uint64
+	rack           string
+	capacity       briarspring.Resources
+	committed      briarspring.Resources
+	gone           bool
+	declaredLostAt uint64
+	tasks          map[briarspring.TaskID]*Task
 }
 
-// Number returns the worker's short name in placement events.
+// Number returns the number that identifies the worker in placement events.
 func (w *Worker) Number() uint32 { return w.number }
 
 // Name returns the worker's name.
 func (w *Worker) Name() string { return w.name }
 
-// Incarnation returns the worker's life that the stream knows.
+// Incarnation returns the worker's last recorded incarnation.
 func (w *Worker) Incarnation() uint64 { return w.incarnation }
 
-// Rack returns the rack that the worker stands in.
+// Rack returns the worker's rack.
 func (w *Worker) Rack() string { return w.rack }
 
-// Capacity returns what the worker has in all.
+// Capacity returns the worker's total resources.
 func (w *Worker) Capacity() briarspring.Resources { return w.capacity }
 
-// Committed returns what open attempts hold.
+// Committed returns the resources of the open attempts.
 func (w *Worker) Committed() briarspring.Resources { return w.committed }
 
-// Free returns what can still be committed.
+// Free returns the resources that are not committed.
 func (w *Worker) Free() briarspring.Resources { return w.capacity.Sub(w.committed) }
 
-// Gone reports whether the worker takes no attempts until it joins again.
+// Gone reports whether the worker is unusable until it joins again.
 func (w *Worker) Gone() bool { return w.gone }
 
-// Declared returns the offset of the last command that was acted on by which
-// operators declared the worker lost.
-func (w *Worker) Declared() uint64 { return w.declared }
+// Declared returns the offset of the last handled command that declared the
+// worker lost.
+func (w *Worker) Declared() uint64 { return w.declaredLostAt }
 
 // Len returns the number of open attempts.
 func (w *Worker) Len() int { return len(w.tasks) }
 
-// Tasks returns the ids of the open attempts in order.
+// Tasks returns the sorted ids of the tasks with an open attempt.
 func (w *Worker) Tasks() []briarspring.TaskID {
 	ids := make([]briarspring.TaskID, 0, len(w.tasks))
 	for id := range w.tasks {
@@ -131,7 +132,7 @@
 	return ids
 }
 
-// Load is the part of a workload that a data centre holds.
+// Load is the part of a workload that is adopted by a data centre.
 type Load struct {
 	id        briarspring.WorkloadID
 	offset    uint64
@@ -154,7 +155,7 @@
 // Offset returns the offset of the last configuration record that was adopted.
 func (l *Load) Offset() uint64 { return l.offset }
 
-// Resources returns the needs of one task.
+// Resources returns the resource needs of one task.
 func (l *Load) Resources() briarspring.Resources { return l.resources }
 
 // Service reports whether the tasks are executors of a service.
@@ -166,7 +167,7 @@
 // Placed returns the number of open attempts.
 func (l *Load) Placed() uint32 { return l.placed }
 
-// Released returns the number of tasks that are to be transferred.
+// Released returns the number of tasks that wait for their transfer.
 func (l *Load) Released() uint32 { return l.released }
 
 // Evictions returns how many attempts ended by eviction.
@@ -179,11 +180,10 @@
 	}
 }
 
-// Task returns a task that has been started or transferred, or nil.
+// Task returns a task that is not fresh, or nil.
 func (l *Load) Task(index uint32) *Task { return l.tasks[index] }
 
-// Tasks returns all tasks that have been started or transferred and are not
-// done, in order.
+// Tasks returns all tasks that are not fresh and not done, sorted by index.
 func (l *Load) Tasks() []*Task {
 	tasks := make([]*Task, 0, len(l.tasks))
 	for _, i := range sortedKeys(l.tasks) {
@@ -198,8 +198,8 @@
 // IsFresh reports whether the task waits and was never started.
 func (l *Load) IsFresh(index uint32) bool { return l.fresh.find(index) >= 0 }
 
-// NextWaiting returns up to n waiting tasks: those that ran before first, then
-// fresh ones, each in order of index.
+// NextWaiting returns up to n waiting tasks: first those that ran before, then
+// fresh ones, each sorted by index.
 func (l *Load) NextWaiting(n int) []briarspring.TaskState {
 	var out []briarspring.TaskState
 	for _, i := range sortedKeys(l.waiting) {
@@ -220,21 +220,21 @@
 	return out
 }
 
-// Placement is the state of one data centre's placement stream.
+// Placement is the state built from one data centre's placement stream.
 type Placement struct {
 	applied  uint64
 	writers  writers
 	epoch    uint64
 	owner    briarspring.Writer
 	resigned bool
-	seen     uint64 // Configuration offset below which nobody may adopt.
+	minSeen  uint64 // Configuration offset up to which a writer must have read to adopt tasks.
 	workers  []*Worker
 	byName   map[string]*Worker
 	loads    map[briarspring.WorkloadID]*Load
 	counts   Counts
 }
 
-// Counts counts what the stream has recorded since the state was made.
+// Counts counts events since the state was created or restored.
 type Counts struct {
 	Starts    uint64
 	Void      uint64
@@ -260,22 +260,22 @@
 // Owner returns the writer of the last valid claim.
 func (p *Placement) Owner() briarspring.Writer { return p.owner }
 
-// Resigned reports whether the owner has given up its epoch.
+// Resigned reports whether the owner has resigned.
 func (p *Placement) Resigned() bool { return p.resigned }
 
-// Counts returns what was recorded since the state was made.
+// Counts returns the event counts since the state was created or restored.
 func (p *Placement) Counts() Counts { return p.counts }
 
-// Sequence returns the last incarnation and sequence seen of a writer.
+// Sequence returns the last applied incarnation and sequence number of a writer.
 func (p *Placement) Sequence(writer string) (incarnation, sequence uint64) {
 	s := p.writers[writer]
 	return s.incarnation, s.sequence
 }
 
-// Workers returns all workers in order of number.
+// Workers returns all workers sorted by number.
 func (p *Placement) Workers() []*Worker { return p.workers }
 
-// Worker returns the worker of that number, or nil.
+// Worker returns the worker with the given number, or nil.
 func (p *Placement) Worker(number uint32) *Worker {
 	if number < 1 || int(number) > len(p.workers) {
 		return nil
@@ -283,16 +283,16 @@
 	return p.workers[number-1]
 }
 
-// WorkerByName returns the worker of that name, or nil.
+// WorkerByName returns the worker with the given name, or nil.
 func (p *Placement) WorkerByName(name string) *Worker { return p.byName[name] }
 
-// Load returns the part of a workload that is held here, or nil.
+// Load returns the adopted part of a workload, or nil.
 func (p *Placement) Load(id briarspring.WorkloadID) *Load { return p.loads[id] }
 
-// Loads returns the ids of all workloads held here, in order.
+// Loads returns the sorted ids of all adopted workloads.
 func (p *Placement) Loads() []briarspring.WorkloadID { return sortedKeys(p.loads) }
 
-// Task returns a task that has been started or transferred, or nil.
+// Task returns a task that is not fresh, or nil.
 func (p *Placement) Task(id briarspring.TaskID) *Task {
 	l := p.loads[id.Workload]
 	if l == nil {
@@ -301,7 +301,7 @@
 	return l.tasks[id.Index]
 }
 
-// Open returns the task if this attempt of it is open, or nil.
+// Open returns the task of an attempt if that attempt is open, or nil.
 func (p *Placement) Open(a briarspring.AttemptID) *Task {
 	t := p.Task(a.Task)
 	if t == nil || t.phase != PhasePlaced || t.attempt != a.Attempt {
@@ -310,8 +310,8 @@
 	return t
 }
 
-// Totals returns the capacity and commitments of all workers that are not gone,
-// their number, and the largest capacity field by field.
+// Totals returns the total capacity and commitments of all workers that are not
+// gone, their number, and the maximum capacity of a worker for each resource.
 func (p *Placement) Totals() (capacity, committed, largest briarspring.Resources, workers uint32) {
 	for _, w := range p.workers {
 		if w.gone {
--- a/applier/placement_test.go
+++ b/applier/placement_test.go
@@ -23,12 +23,12 @@
 // stream appends records to a placement state as the log would.
 type stream struct {
 	t         *testing.T
-	place     *applier.Placement
+	placement *applier.Placement
 	sequences map[briarspring.Writer]uint64
 }
 
 func newStream(t *testing.T) *stream {
-	s := &stream{t: t, place: applier.NewPlacement(), sequences: map[briarspring.Writer]uint64{}}
+	s := &stream{t: t, placement: applier.NewPlacement(), sequences: map[briarspring.Writer]uint64{}}
 	s.ok(owner, 1, briarspring.Claim{})
 	s.ok(owner, 1, briarspring.WorkerJoin{Name: "w1", Incarnation: 1, Rack: "r0", Capacity: amount(16, 60000, 2)})
 	s.ok(owner, 1, briarspring.WorkerJoin{Name: "w2", Incarnation: 1, Rack: "r0", Capacity: amount(16, 60000, 0)})
@@ -49,10 +49,10 @@
 	}
 }
 
-// apply appends one record and returns what became of its events.
+// apply appends one record and returns the outcomes of its events.
 func (s *stream) apply(w briarspring.Writer, epoch uint64, events ...briarspring.Event) []applier.Outcome {
 	s.sequences[w]++
-	return s.place.Apply(s.place.Applied()+1, briarspring.Record{
+	return s.placement.Apply(s.placement.Applied()+1, briarspring.Record{
 		Writer: w, Sequence: s.sequences[w], Body: briarspring.Batch{Epoch: epoch, Events: events},
 	})
 }
@@ -66,23 +66,23 @@
 
 func (s *stream) void(w briarspring.Writer, epoch uint64, event briarspring.Event, reason string) {
 	s.t.Helper()
-	before, err := s.place.Snapshot()
+	before, err := s.placement.Snapshot()
 	require.NoError(s.t, err)
 	outcomes := s.apply(w, epoch, event)
 	require.Len(s.t, outcomes, 1)
 	var voidErr *briarspring.VoidError
 	require.ErrorAs(s.t, outcomes[0].Err, &voidErr)
 	assert.Contains(s.t, voidErr.Reason, reason)
-	assert.Equal(s.t, contents(s.t, before), contents(s.t, s.snapshot()), "a void event leaves no trace")
+	assert.Equal(s.t, contents(s.t, before), contents(s.t, s.snapshot()), "a void event changes no progress")
 }
 
 func (s *stream) snapshot() []byte {
-	data, err := s.place.Snapshot()
+	data, err := s.placement.Snapshot()
 	require.NoError(s.t, err)
 	return data
 }
 
-// contents returns a snapshot without the counting of records.
+// contents returns the progress of every workload in a snapshot.
 func contents(t *testing.T, snapshot []byte) map[briarspring.WorkloadID]briarspring.Progress {
 	p, err := applier.RestorePlacement(snapshot)
 	require.NoError(t, err)
@@ -123,24 +123,24 @@
 		}, owner, 1, start(0, 1, 1), "does not follow"},
 		{"a task that is done", []briarspring.Event{
 			start(0, 1, 1), briarspring.End{Attempt: attempt(0, 1), Reason: briarspring.EndDone},
-		}, owner, 1, start(0, 2, 1), "does not wait"},
-		{"a task of nobody", nil, owner, 1, start(99, 1, 1), "does not wait"},
+		}, owner, 1, start(0, 2, 1), "is not waiting"},
+		{"a task that was never adopted", nil, owner, 1, start(99, 1, 1), "is not waiting"},
 		{"a start on a worker that is gone", []briarspring.Event{briarspring.WorkerGone{Worker: 1}}, owner, 1, start(0, 1, 1), "gone"},
-		{"a start on no worker", nil, owner, 1, start(0, 1, 9), "gone"},
+		{"a start on an unknown worker", nil, owner, 1, start(0, 1, 9), "gone"},
 		{"the end of an attempt that is closed", []briarspring.Event{
 			start(0, 1, 1), briarspring.End{Attempt: attempt(0, 1), Reason: briarspring.EndEvicted, Checkpoint: 5},
 		}, owner, 1, briarspring.End{Attempt: attempt(0, 1), Reason: briarspring.EndDone}, "not open"},
 		{"an eviction of a closed attempt", nil, owner, 1, briarspring.EvictIntent{Attempt: attempt(0, 1)}, "not open"},
 		{"the address of a closed attempt", nil, owner, 1, briarspring.Ready{Attempt: attempt(0, 1), Address: "x"}, "not open"},
-		{"tasks adopted before", nil, owner, 1, adopt(testOffset, 10, 0, 10), "adopted before"},
-		{"an adoption by an old reading", []briarspring.Event{
+		{"tasks that are already adopted", nil, owner, 1, adopt(testOffset, 10, 0, 10), "already adopted"},
+		{"an adoption by a writer that has read too little", []briarspring.Event{
 			briarspring.Cancel{Workload: testWorkload, End: 99}, briarspring.Forget{Workload: testWorkload, Seen: 20},
 		}, owner, 1, adopt(8, 19, 0, 10), "had read"},
 		{"forgetting tasks that wait", nil, owner, 1, briarspring.Forget{Workload: testWorkload}, "waiting"},
 		{"releasing a task that runs", []briarspring.Event{start(0, 1, 1)}, owner, 1,
-			briarspring.Release{Workload: testWorkload, To: "voru", Indexes: []uint32{0}}, "does not wait"},
+			briarspring.Release{Workload: testWorkload, To: "voru", Indexes: []uint32{0}}, "is not waiting"},
 		{"releasing a task twice in one", nil, owner, 1,
-			briarspring.Release{Workload: testWorkload, To: "voru", Indexes: []uint32{1, 1}}, "does not wait"},
+			briarspring.Release{Workload: testWorkload, To: "voru", Indexes: []uint32{1, 1}}, "is not waiting"},
 		{"starting a released task", []briarspring.Event{
 			briarspring.Release{Workload: testWorkload, To: "voru", Indexes: []uint32{3}},
 		}, owner, 1, start(3, 1, 1), "released"},
@@ -166,7 +166,7 @@
 	s.void(owner, 1, start(1, 1, 1), "is not epoch")
 	s.ok(rival, 2, start(1, 1, 1))
 	s.void(rival, 2, start(2, 1, 1), "free")
-	assert.True(t, s.place.Worker(1).Committed().Fits(s.place.Worker(1).Capacity()))
+	assert.True(t, s.placement.Worker(1).Committed().Fits(s.placement.Worker(1).Capacity()))
 }
 
 func TestPlacementDropsRepeatedRecords(t *testing.T) {
@@ -175,13 +175,13 @@
 		Writer: owner, Sequence: s.sequences[owner] + 1,
 		Body: briarspring.Batch{Epoch: 1, Events: []briarspring.Event{start(0, 1, 1)}},
 	}
-	assert.Len(t, s.place.Apply(s.place.Applied()+1, record), 1)
-	assert.Empty(t, s.place.Apply(s.place.Applied()+1, record), "the repeat is dropped")
+	assert.Len(t, s.placement.Apply(s.placement.Applied()+1, record), 1)
+	assert.Empty(t, s.placement.Apply(s.placement.Applied()+1, record), "the repeat is dropped")
 	old := record
 	old.Writer.Incarnation = 0
 	old.Sequence = 99
-	assert.Empty(t, s.place.Apply(s.place.Applied()+1, old), "an older life of the writer is dropped")
-	assert.Empty(t, s.place.Apply(s.place.Applied(), record), "an offset is applied once")
+	assert.Empty(t, s.placement.Apply(s.placement.Applied()+1, old), "an older incarnation of the writer is dropped")
+	assert.Empty(t, s.placement.Apply(s.placement.Applied(), record), "an offset is applied once")
 }
 
 func TestPlacementEnds(t *testing.T) {
@@ -191,31 +191,31 @@
 	t.Run("evicted resumes from its checkpoint", func(t *testing.T) {
 		s := newStream(t)
 		s.ok(owner, 1, start(0, 1, 1), end(0, 1, briarspring.EndEvicted, 55))
-		next := s.place.Load(testWorkload).NextWaiting(1)
+		next := s.placement.Load(testWorkload).NextWaiting(1)
 		assert.Equal(t, []briarspring.TaskState{{Index: 0, Attempt: 1, Checkpoint: 55}}, next)
 	})
 	t.Run("failing uses up the tries", func(t *testing.T) {
 		s := newStream(t)
 		s.ok(owner, 1, start(0, 1, 1), end(0, 1, briarspring.EndFailed, 0))
 		s.ok(owner, 1, start(0, 2, 1), end(0, 2, briarspring.EndFailed, 0))
-		assert.Equal(t, applier.PhaseFailed, s.place.Load(testWorkload).Task(0).Phase())
+		assert.Equal(t, applier.PhaseFailed, s.placement.Load(testWorkload).Task(0).Phase())
 		s.void(owner, 1, start(0, 3, 1), "failed")
 	})
 	t.Run("a restarted worker has lost its tasks", func(t *testing.T) {
 		s := newStream(t)
 		s.ok(owner, 1, start(0, 1, 1))
 		s.ok(owner, 1, briarspring.WorkerJoin{Name: "w1", Incarnation: 2, Rack: "r0", Capacity: amount(16, 60000, 2)})
-		assert.Zero(t, s.place.Worker(1).Len())
-		assert.True(t, s.place.Worker(1).Committed().IsZero())
+		assert.Zero(t, s.placement.Worker(1).Len())
+		assert.True(t, s.placement.Worker(1).Committed().IsZero())
 		s.ok(owner, 1, start(0, 2, 1))
 	})
 	t.Run("a cancelled task ends with its attempt", func(t *testing.T) {
 		s := newStream(t)
 		s.ok(owner, 1, start(0, 1, 1), briarspring.Cancel{Workload: testWorkload, End: 99})
-		assert.Zero(t, s.place.Load(testWorkload).Waiting())
+		assert.Zero(t, s.placement.Load(testWorkload).Waiting())
 		s.ok(owner, 1, end(0, 1, briarspring.EndEvicted, 9))
 		s.ok(owner, 1, briarspring.Forget{Workload: testWorkload, Seen: 11})
-		assert.Nil(t, s.place.Load(testWorkload))
+		assert.Nil(t, s.placement.Load(testWorkload))
 	})
 }
 
@@ -231,7 +231,7 @@
 	again, err := restored.Snapshot()
 	require.NoError(t, err)
 	assert.Equal(t, data, again)
-	assert.Equal(t, s.place.Load(testWorkload).NextWaiting(20), restored.Load(testWorkload).NextWaiting(20))
-	assert.Equal(t, s.place.Worker(1).Committed(), restored.Worker(1).Committed())
+	assert.Equal(t, s.placement.Load(testWorkload).NextWaiting(20), restored.Load(testWorkload).NextWaiting(20))
+	assert.Equal(t, s.placement.Worker(1).Committed(), restored.Worker(1).Committed())
 	assert.EqualValues(t, 2, restored.Load(testWorkload).Released())
 }
--- a/applier/snapshot_config.go
+++ b/applier/snapshot_config.go
@@ -10,7 +10,7 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// Snapshot returns the state as bytes. Equal states give equal bytes.
+// Snapshot encodes the state. Equal states give equal bytes.
 func (c *Config) Snapshot() ([]byte, error) {
 	m := &pb.ConfigSnapshot{Applied: c.applied, Writers: c.writers.encode()}
 	for _, id := range sortedKeys(c.workloads) {
@@ -23,12 +23,12 @@
 	}
 	for _, d := range c.DataCentres() {
 		m.DataCentres = append(m.DataCentres, &pb.ConfigSnapshot_DataCentre{
-			Name: d.name, Out: d.out, Version: d.version, ChangedAt: d.changedAt,
+			Name: d.name, Out: d.outOfService, Version: d.version, ChangedAt: d.changedAt,
 			Summary: encoder.EncodeSummary(d.summary),
 		})
 	}
-	for _, name := range sortedKeys(c.lost) {
-		m.LostWorkers = append(m.LostWorkers, &pb.ConfigSnapshot_LostWorker{Name: name, Offset: c.lost[name]})
+	for _, name := range sortedKeys(c.lostWorkers) {
+		m.LostWorkers = append(m.LostWorkers, &pb.ConfigSnapshot_LostWorker{Name: name, Offset: c.lostWorkers[name]})
 	}
 	for _, id := range c.answerOrder {
 		m.Answers = append(m.Answers, encodeAnswer(c.answers[id]))
@@ -89,8 +89,8 @@
 	return a
 }
 
-// RestoreConfig returns the state that Snapshot wrote, or an
-// *encoder.MalformedError. Every workload counts as changed.
+// RestoreConfig decodes a state that Snapshot encoded. It marks every workload
+// as changed. Errors are *encoder.MalformedError.
 func RestoreConfig(data []byte) (*Config, error) {
 	var m pb.ConfigSnapshot
 	if err := proto.Unmarshal(data, &m); err != nil {
@@ -113,15 +113,15 @@
 	}
 	for _, dm := range m.GetDataCentres() {
 		c.dataCentres[dm.GetName()] = &DataCentre{
-			name: dm.GetName(), out: dm.GetOut(), version: dm.GetVersion(), changedAt: dm.GetChangedAt(),
+			name: dm.GetName(), outOfService: dm.GetOut(), version: dm.GetVersion(), changedAt: dm.GetChangedAt(),
 			summary: encoder.DecodeSummary(dm.GetSummary()),
 		}
 	}
 	for _, lm := range m.GetLostWorkers() {
-		c.lost[lm.GetName()] = lm.GetOffset()
+		c.lostWorkers[lm.GetName()] = lm.GetOffset()
 	}
 	for _, am := range m.GetAnswers() {
-		c.remember(decodeAnswer(am))
+		c.storeAnswer(decodeAnswer(am))
 	}
 	c.MarkAllDirty()
 	return c, nil
@@ -157,7 +157,7 @@
 			Tasks: encoder.DecodeTaskStates(sm.GetTasks()),
 		})
 		if sm.GetDataCentre() == "" {
-			c.leftovers[w.id] = struct{}{}
+			c.unassigned[w.id] = struct{}{}
 		}
 	}
 	for _, pm := range m.GetProgress() {
@@ -165,7 +165,7 @@
 	}
 	c.workloads[w.id] = w
 	if w.finished {
-		c.finished = append(c.finished, w.id)
+		c.finishedJobs = append(c.finishedJobs, w.id)
 	}
 	return nil
 }
--- a/applier/snapshot_placement.go
+++ b/applier/snapshot_placement.go
@@ -10,16 +10,16 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// Snapshot returns the state as bytes. Equal states give equal bytes.
+// Snapshot encodes the state. Equal states give equal bytes.
 func (p *Placement) Snapshot() ([]byte, error) {
 	m := &pb.PlacementSnapshot{
 		Applied: p.applied, Epoch: p.epoch, Owner: p.owner.Name, OwnerIncarnation: p.owner.Incarnation,
-		Resigned: p.resigned, Seen: p.seen, Writers: p.writers.encode(),
+		Resigned: p.resigned, Seen: p.minSeen, Writers: p.writers.encode(),
 	}
 	for _, w := range p.workers {
 		m.Workers = append(m.Workers, &pb.PlacementSnapshot_Worker{
 			Number: w.number, Name: w.name, Incarnation: w.incarnation, Rack: w.rack,
-			Capacity: encoder.EncodeResources(w.capacity), Gone: w.gone, Declared: w.declared,
+			Capacity: encoder.EncodeResources(w.capacity), Gone: w.gone, Declared: w.declaredLostAt,
 		})
 	}
 	for _, id := range sortedKeys(p.loads) {
@@ -46,7 +46,7 @@
 	return m
 }
 
-// RestorePlacement returns the state that Snapshot wrote, or an
+// RestorePlacement decodes a state that Snapshot encoded. Errors are
 // *encoder.MalformedError.
 func RestorePlacement(data []byte) (*Placement, error) {
 	var m pb.PlacementSnapshot
@@ -58,12 +58,12 @@
 	p.epoch = m.GetEpoch()
 	p.owner = briarspring.Writer{Name: m.GetOwner(), Incarnation: m.GetOwnerIncarnation()}
 	p.resigned = m.GetResigned()
-	p.seen = m.GetSeen()
+	p.minSeen = m.GetSeen()
 	p.writers = decodeWriters(m.GetWriters())
 	for i, wm := range m.GetWorkers() {
 		w := &Worker{
 			number: uint32(i) + 1, name: wm.GetName(), incarnation: wm.GetIncarnation(), rack: wm.GetRack(),
-			capacity: encoder.DecodeResources(wm.GetCapacity()), gone: wm.GetGone(), declared: wm.GetDeclared(),
+			capacity: encoder.DecodeResources(wm.GetCapacity()), gone: wm.GetGone(), declaredLostAt: wm.GetDeclared(),
 			tasks: map[briarspring.TaskID]*Task{},
 		}
 		p.workers = append(p.workers, w)
--- a/applier/span.go
+++ b/applier/span.go
@@ -14,7 +14,7 @@
 // spans is a sorted list of disjoint spans.
 type spans []Span
 
-// find returns the position of the span that holds index, or -1.
+// find returns the position of the span that contains index, or -1.
 func (s spans) find(index uint32) int {
 	i, found := slices.BinarySearchFunc(s, index, func(sp Span, index uint32) int {
 		if sp.End <= index {
@@ -31,7 +31,7 @@
 	return i
 }
 
-// remove takes one index out and reports whether it was there.
+// remove removes one index and reports whether it was there.
 func (s *spans) remove(index uint32) bool {
 	i := s.find(index)
 	if i < 0 {
@@ -52,9 +52,9 @@
 	return true
 }
 
-// cut removes every index of the half-open range and returns how many were
-// there.
-func (s *spans) cut(first, end uint32) uint32 {
+// removeRange removes every index of the half-open range and returns how many
+// there were.
+func (s *spans) removeRange(first, end uint32) uint32 {
 	var kept spans
 	var removed uint32
 	for _, sp := range *s {
@@ -74,12 +74,12 @@
 	return removed
 }
 
-// add inserts the half-open range, less what is there already.
+// add inserts a half-open range of indexes, which may overlap existing spans.
 func (s *spans) add(first, end uint32) {
 	if first >= end {
 		return
 	}
-	s.cut(first, end)
+	s.removeRange(first, end)
 	i, _ := slices.BinarySearchFunc(*s, first, func(sp Span, first uint32) int {
 		if sp.First < first {
 			return -1
--- a/applier/workload.go
+++ b/applier/workload.go
@@ -10,13 +10,13 @@
 // Share is a part of a workload's tasks that is assigned to one data centre:
 // either a range of fresh tasks or a list of tasks that were transferred.
 type Share struct {
-	DataCentre string // Empty while no data centre can take the tasks.
-	Offset     uint64 // Of the record that assigned them.
+	DataCentre string // Empty while no data centre can run the tasks.
+	Offset     uint64 // Offset of the record that assigned the tasks.
 	Span       Span
 	Tasks      []briarspring.TaskState
 }
 
-// Workload is a service or a job as the configuration stream knows it.
+// Workload is the state of a service or job in the configuration stream.
 type Workload struct {
 	id        briarspring.WorkloadID
 	version   uint64
@@ -41,13 +41,13 @@
 // Job returns the job, or nil for a service.
 func (w *Workload) Job() *briarspring.Job { return w.job }
 
-// Cancelled reports whether operators cancelled the job.
+// Cancelled reports whether an operator cancelled the job.
 func (w *Workload) Cancelled() bool { return w.cancelled }
 
-// Finished reports whether every task of the job has ended for good.
+// Finished reports whether every task of the job is done or failed for good.
 func (w *Workload) Finished() bool { return w.finished }
 
-// Shares returns which tasks are assigned to which data centre.
+// Shares returns the assignment of tasks to data centres.
 func (w *Workload) Shares() []Share { return w.shares }
 
 // Name returns the service's or job's name.
@@ -66,7 +66,7 @@
 	return w.job.Team()
 }
 
-// Resources returns the declared needs of one task.
+// Resources returns the declared resource needs of one task.
 func (w *Workload) Resources() briarspring.Resources {
 	if w.service != nil {
 		return w.service.Resources()
@@ -74,7 +74,7 @@
 	return w.job.Resources()
 }
 
-// Command returns what a worker runs for one task.
+// Command returns the command that a worker runs for one task.
 func (w *Workload) Command() string {
 	if w.service != nil {
 		return w.service.Command()
@@ -82,7 +82,7 @@
 	return w.job.Command()
 }
 
-// Progress returns the workload's progress in each data centre, in order.
+// Progress returns the workload's progress in each data centre, sorted by name.
 func (w *Workload) Progress() []DataCentreProgress {
 	var all []DataCentreProgress
 	for _, name := range sortedKeys(w.progress) {
@@ -120,31 +120,33 @@
 	return n
 }
 
-// Holds returns the indexes that are assigned to a data centre.
-func (w *Workload) Holds(dataCentre string) Holding {
-	h := Holding{tasks: map[uint32]uint64{}}
+// Holds returns the task indexes that are assigned to a data centre.
+func (w *Workload) Holds(dataCentre string) AssignedTasks {
+	assigned := AssignedTasks{tasks: map[uint32]uint64{}}
 	for _, s := range w.shares {
 		if s.DataCentre != dataCentre {
 			continue
 		}
 		if s.Span.Len() > 0 {
-			h.ranges = append(h.ranges, s)
+			assigned.ranges = append(assigned.ranges, s)
 		}
 		for _, t := range s.Tasks {
-			h.tasks[t.Index] = s.Offset
+			assigned.tasks[t.Index] = s.Offset
 		}
 	}
-	return h
+	return assigned
 }
 
-// Holding answers which tasks of a workload a data centre holds.
-type Holding struct {
+// AssignedTasks is the set of a workload's tasks that are assigned to one data
+// centre.
+type AssignedTasks struct {
 	ranges []Share
 	tasks  map[uint32]uint64
 }
 
-// Has returns the offset of the record that assigned an index, if one did.
-func (h Holding) Has(index uint32) (offset uint64, ok bool) {
+// Has reports whether a task is in the set, and returns the offset of the record
+// that assigned it.
+func (h AssignedTasks) Has(index uint32) (offset uint64, ok bool) {
 	if offset, ok = h.tasks[index]; ok {
 		return offset, true
 	}
@@ -163,7 +165,7 @@
 	w.progress[dataCentre] = p
 }
 
-// complete reports whether every task of a job has ended for good.
+// complete reports whether every task of a job is done or failed for good.
 func (w *Workload) complete() bool {
 	t := w.Totals()
 	return t.Done+t.Failed >= w.job.Tasks()
@@ -178,8 +180,8 @@
 	if old == nil {
 		return c.createService(offset, object, s)
 	}
-	if why := unchangeable(*old.service, s); why != "" {
-		return 0, &briarspring.InvalidError{Object: object, Reason: why}
+	if problem := immutableFieldProblem(*old.service, s); problem != "" {
+		return 0, &briarspring.InvalidError{Object: object, Reason: problem}
 	}
 	old.service = &s
 	old.version = offset
@@ -195,7 +197,7 @@
 	return w.version
 }
 
-func unchangeable(old, s briarspring.Service) string {
+func immutableFieldProblem(old, s briarspring.Service) string {
 	if old.Team() != s.Team() || old.Prefix() != s.Prefix() || old.Resources() != s.Resources() ||
 		old.Slots() != s.Slots() || old.Connections() != s.Connections() || old.Command() != s.Command() {
 		return "only the number of executors can be changed; create another service for the rest"
@@ -251,7 +253,8 @@
 	return offset, nil
 }
 
-// checkFits refuses what fits on no worker of any data centre that has some.
+// checkFits returns an error if a task with these needs fits on no worker of any
+// data centre that has workers.
 func (c *Config) checkFits(object string, need briarspring.Resources) error {
 	if problem := c.Impossible(need); problem != "" {
 		return &briarspring.InvalidError{Object: object, Reason: problem}
@@ -259,7 +262,7 @@
 	return nil
 }
 
-// Impossible returns why a task with these needs can run nowhere, or "".
+// Impossible returns why no known worker can run a task with these needs, or "".
 func (c *Config) Impossible(need briarspring.Resources) string {
 	var largest briarspring.Resources
 	for _, d := range c.dataCentres {
@@ -284,8 +287,8 @@
 	if err := checkVersion(object, expected, w.version); err != nil {
 		return 0, err
 	}
-	c.drop(w)
-	c.finished = slices.DeleteFunc(c.finished, func(id briarspring.WorkloadID) bool { return id == w.id })
+	c.removeWorkload(w)
+	c.finishedJobs = slices.DeleteFunc(c.finishedJobs, func(id briarspring.WorkloadID) bool { return id == w.id })
 	return offset, nil
 }
 
@@ -308,8 +311,8 @@
 	return offset, nil
 }
 
-// resize assigns new executors or takes the highest ones away. Indexes are
-// never used again, so that no executor runs in two data centres.
+// resize assigns new executors or removes those with the highest indexes. It
+// never reuses an index, so that no executor runs in two data centres.
 func (c *Config) resize(offset uint64, w *Workload, executors uint32) {
 	var have uint32
 	for _, s := range w.shares {
@@ -322,7 +325,7 @@
 	w.shrink(have - executors)
 }
 
-// shrink takes the n highest indexes out of the shares.
+// shrink removes the n highest indexes from the shares.
 func (w *Workload) shrink(n uint32) {
 	var indexes []uint32
 	for _, s := range w.shares {
@@ -334,9 +337,9 @@
 		}
 	}
 	slices.SortFunc(indexes, func(a, b uint32) int { return cmp.Compare(b, a) })
-	drop := map[uint32]briarspring.TaskState{}
+	highest := map[uint32]briarspring.TaskState{}
 	for _, i := range indexes[:n] {
-		drop[i] = briarspring.TaskState{Index: i}
+		highest[i] = briarspring.TaskState{Index: i}
 	}
-	w.takeOut(drop, func(Share) bool { return true })
+	w.removeTasks(highest, func(Share) bool { return true })
 }
--- a/applier/writers.go
+++ b/applier/writers.go
@@ -1,6 +1,6 @@
 // Package applier is the deterministic state machine of the platform's log:
 // every reader that applies the same records in order of offset reaches the
-// same state. It knows no clock and does no I/O.
+// same state. It reads no clock and does no I/O.
 package applier
 
 import (
@@ -11,8 +11,8 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// writers drops records that were appended twice or came from an older life of
-// their writer.
+// writers tracks the last record of each writer, to drop records that were
+// appended twice or come from an older incarnation.
 type writers map[string]writerState
 
 type writerState struct {
@@ -20,7 +20,8 @@
 	sequence    uint64
 }
 
-// accept reports whether the record is new, and remembers it.
+// accept reports whether the record is new, and stores its sequence number if it
+// is.
 func (w writers) accept(r briarspring.Record) bool {
 	last, known := w[r.Writer.Name]
 	if known && r.Writer.Incarnation < last.incarnation {
@@ -50,7 +51,7 @@
 	return w
 }
 
-// sortedKeys returns the keys of m in order.
+// sortedKeys returns the sorted keys of m.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/registrar/owner.go
+++ b/registrar/owner.go
@@ -18,10 +18,10 @@
 	Incarnation int64
 }
 
-// Beat is an owner's last heartbeat.
-type Beat struct {
+// Heartbeat is an owner's last heartbeat.
+type Heartbeat struct {
 	Content briarspring.OwnerBeat
-	At      time.Duration // When it was read.
+	At      time.Duration // When the heartbeat was read.
 }
 
 // pastClaim is a claim that was replaced.
@@ -40,7 +40,7 @@
 type ownership struct {
 	claim  Claim
 	past   []pastClaim
-	beat   Beat
+	beat   Heartbeat
 	silent silentWorkers
 }
 
@@ -67,7 +67,7 @@
 func (r *Registry) Claim(dataCentre string) Claim { return r.ownershipOf(dataCentre).claim }
 
 // Beat returns the last heartbeat of the current owner.
-func (r *Registry) Beat(dataCentre string) Beat { return r.ownershipOf(dataCentre).beat }
+func (r *Registry) Beat(dataCentre string) Heartbeat { return r.ownershipOf(dataCentre).beat }
 
 // Host returns the last presence record of a host.
 func (r *Registry) Host(name string) (briarspring.HostPresence, bool) {
@@ -136,8 +136,8 @@
 		p := pastClaim{claim: o.claim, replacedAt: now}
 		// A process claims again, or gives up a data centre, only after its earlier
 		// ownership has ended.
-		own := c.Owner == "" || c.Owner == o.claim.Owner && c.Incarnation == o.claim.Incarnation
-		if own || o.claim.Owner == "" || r.hosts[o.claim.Owner].Incarnation > o.claim.Incarnation {
+		byOwner := c.Owner == "" || c.Owner == o.claim.Owner && c.Incarnation == o.claim.Incarnation
+		if byOwner || o.claim.Owner == "" || r.hosts[o.claim.Owner].Incarnation > o.claim.Incarnation {
 			p.gone, p.goneAt = true, now
 		}
 		o.past = append(o.past, p)
@@ -150,7 +150,7 @@
 func (r *Registry) applyBeat(now time.Duration, dataCentre string, rec briarspring.KeyedRecord) error {
 	b, err := encoder.DecodeOwnerBeat(rec.Value)
 	if o := r.ownershipOf(dataCentre); err == nil && b.Token == o.claim.Token {
-		o.beat = Beat{Content: b, At: now}
+		o.beat = Heartbeat{Content: b, At: now}
 	}
 	return err
 }
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -16,19 +16,19 @@
 
 // Entry is the registry's state of one workflow.
 type Entry struct {
-	workflow  *briarspring.Workflow
-	offset    uint64
-	phase     briarspring.Phase
-	cancelled bool
-	finalAt   time.Duration
-	moved     map[int]Moved
-	keys      []string        // Keys of its submission and transfer records.
-	transfers map[string]bool // Applied transfers, by token and number.
+	workflow    *briarspring.Workflow
+	offset      uint64
+	phase       briarspring.Phase
+	cancelled   bool
+	finalAt     time.Duration
+	transferred map[int]TransferredTask
+	keys        []string        // Keys of its submission and transfer records.
+	transfers   map[string]bool // Applied transfers, by token and number.
 }
 
-// Moved is the data centre that a task was transferred to, and the progress
-// that was transferred with it.
-type Moved struct {
+// TransferredTask is the data centre that a task was transferred to, and the
+// progress that was transferred with it.
+type TransferredTask struct {
 	To       string
 	Progress briarspring.TaskProgress
 	Count    int // Number of the task's transfers so far.
@@ -51,12 +51,12 @@
 // Cancelled reports whether the workflow's cancellation is recorded.
 func (e *Entry) Cancelled() bool { return e.cancelled }
 
-// Moved returns the tasks that were transferred, by position.
-func (e *Entry) Moved() map[int]Moved { return e.moved }
+// Moved returns the transferred tasks by position.
+func (e *Entry) Moved() map[int]TransferredTask { return e.transferred }
 
 // DataCentre returns the data centre that runs the task at a position.
 func (e *Entry) DataCentre(position int) string {
-	if m, ok := e.moved[position]; ok {
+	if m, ok := e.transferred[position]; ok {
 		return m.To
 	}
 	return e.workflow.DataCentre
@@ -329,23 +329,23 @@
 		return Change{}, nil
 	}
 	e.keys = append(e.keys, rec.Key)
-	name, _, _ := strings.Cut(strings.TrimPrefix(rest, string(e.workflow.ID)+"/"), "/")
-	if e.transfers[name] {
+	transferID, _, _ := strings.Cut(strings.TrimPrefix(rest, string(e.workflow.ID)+"/"), "/")
+	if e.transfers[transferID] {
 		return Change{}, nil
 	}
 	if r.ownershipOf(t.From).claim.Token != t.Token {
 		return Change{}, nil
 	}
-	if e.moved == nil {
-		e.moved = map[int]Moved{}
+	if e.transferred == nil {
+		e.transferred = map[int]TransferredTask{}
 		e.transfers = map[string]bool{}
 	}
-	e.transfers[name] = true
+	e.transfers[transferID] = true
 	r.addLongRunning(e, -1)
 	defer r.addLongRunning(e, 1)
 	for _, p := range t.Tasks {
 		if e.DataCentre(p.Position) == t.From {
-			e.moved[p.Position] = Moved{To: t.To, Progress: p, Count: e.moved[p.Position].Count + 1}
+			e.transferred[p.Position] = TransferredTask{To: t.To, Progress: p, Count: e.transferred[p.Position].Count + 1}
 		}
 	}
 	return Change{Workflow: e.workflow.ID}, nil
