--- a/claimer/claimer.go
+++ b/claimer/claimer.go
@@ -33,7 +33,7 @@
 	// repeated.
 	claimRetryDelay = 1500 * time.Millisecond
 	// reclaimAfter is how long a host must have read the log without a gap before
-	// it reclaims its data centre from a host elsewhere.
+	// it reclaims its data centre from a host elsewhere or from a small one.
 	reclaimAfter = 2500 * time.Millisecond
 	// largeRemoteDelay is added to localSilence for large hosts in other data
 	// centres. They claim before small local hosts, which can't renew the leases
@@ -66,7 +66,7 @@
 	LastBeat    time.Duration // When the owner's last heartbeat was read.
 	ClaimedAt   time.Duration // When the claim in force was read.
 	LastRead    time.Duration // When the last successful read was sent.
-	ReadSince   time.Duration // Since when every read has succeeded.
+	ReadSince   time.Duration // Start of the present period of reads without a gap.
 	StoreDelay  time.Duration // How long the log takes to answer.
 	LastAttempt time.Duration // When this host last claimed; zero for never.
 	Restarted   bool          // The owner's process has restarted.
