--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -1,5 +1,5 @@
-// Package launcher is the micro-kernel of a process: it runs named parts, lets
-// them find each other by name, and stops them in the reverse order.
+// Package launcher runs the named parts of a process, lets them find each other
+// by name, and stops them in reverse order.
 package launcher
 
 import (
@@ -19,13 +19,14 @@
 	Done() <-chan struct{}
 }
 
-// Stopper is met by parts that must finish something before their context ends.
+// Stopper is implemented by parts that have to finish work before their context
+// ends.
 type Stopper interface {
-	// Stop returns when the part has finished, or the channel closes.
+	// Stop returns when the part has finished its work or giveUp is closed.
 	Stop(giveUp <-chan struct{})
 }
 
-// GiveUpContext returns a context that ends when a stopping part has to give up.
+// GiveUpContext returns a context that ends when giveUp is closed.
 func GiveUpContext(giveUp <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -38,17 +39,16 @@
 	return ctx, cancel
 }
 
-// MissingPartError tells that a part asked for one that does not exist or is
-// of another kind.
+// MissingPartError is returned for a part that does not exist or has another type.
 type MissingPartError struct {
 	Name string
 	Want string
 }
 
 // Error implements error.
-func (e *MissingPartError) Error() string { return fmt.Sprintf("part %q is no %s", e.Name, e.Want) }
+func (e *MissingPartError) Error() string { return fmt.Sprintf("part %q is not a %s", e.Name, e.Want) }
 
-// Launcher holds the parts of a process.
+// Launcher runs the parts of a process.
 type Launcher struct {
 	logger   hclog.Logger
 	stopTime time.Duration
@@ -58,13 +58,13 @@
 	parts map[string]any
 }
 
-// New returns a launcher. Each part has stopTime to finish its work.
+// New returns a launcher. Each part has stopTime to finish its work on a stop.
 func New(logger hclog.Logger, stopTime time.Duration) *Launcher {
 	return &Launcher{logger: logger, stopTime: stopTime, parts: map[string]any{}}
 }
 
-// Add names a part. Parts are started in the order in which they were added.
-// One that is no Part is only found by name.
+// Add adds a named part. Parts are started in the order in which they were added.
+// A value that doesn't implement Part is not run, only found by name.
 func (l *Launcher) Add(name string, part any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +106,7 @@
 	case <-ctx.Done():
 		l.logger.Info("stops")
 	case name := <-ended:
-		l.logger.Error("part ended by itself, the process stops", "part", name)
+		l.logger.Error("part ended unexpectedly, stopping the process", "part", name)
 	}
 	for i := len(running) - 1; i >= 0; i-- {
 		l.stop(running[i])
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -13,7 +13,7 @@
 	"briarspring/launcher"
 )
 
-// part notes what happens to it.
+// part logs its name when it is stopped.
 type part struct {
 	name string
 	log  chan<- string
