--- a/counter/counter.go
+++ b/counter/counter.go
@@ -1,5 +1,5 @@
-// Package counter counts events by kind and outcome and keeps a histogram of how
-// long they took, for a process's metrics.
+// Package counter counts events by kind and outcome and keeps histograms of their
+// durations for a process's metrics.
 package counter
 
 import (
@@ -10,18 +10,18 @@
 )
 
 const (
-	// longest time that a histogram tells apart; calls time out before.
-	longest = 60 * time.Second
-	// digits of precision of a histogram.
-	digits = 2
-	// maxKinds bounds the pairs of kind and outcome; later ones are counted
+	// maxDuration bounds the durations of a histogram; calls time out before.
+	maxDuration = 60 * time.Second
+	// significantDigits is the precision of a histogram.
+	significantDigits = 2
+	// maxKinds bounds the pairs of kind and outcome; further pairs are counted
 	// together.
 	maxKinds = 64
-	// others is the kind of events beyond maxKinds.
-	others = "others"
+	// overflowKind is the kind under which pairs beyond maxKinds are counted.
+	overflowKind = "others"
 )
 
-// Counter counts events.
+// Counter counts events and records their durations.
 type Counter struct {
 	mu     sync.Mutex
 	events map[event]*series
@@ -33,14 +33,14 @@
 }
 
 type series struct {
-	count uint64
-	took  *hdrhistogram.Histogram
+	count     uint64
+	durations *hdrhistogram.Histogram
 }
 
 // New returns a counter without events.
 func New() *Counter { return &Counter{events: map[event]*series{}} }
 
-// Observe counts an event that took some time.
+// Observe counts an event and records its duration.
 func (c *Counter) Observe(kind, outcome string, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,19 +48,19 @@
 	s := c.events[e]
 	if s == nil {
 		if len(c.events) >= maxKinds {
-			e = event{kind: others}
+			e = event{kind: overflowKind}
 		}
 		if s = c.events[e]; s == nil {
-			s = &series{took: hdrhistogram.New(1, longest.Microseconds(), digits)}
+			s = &series{durations: hdrhistogram.New(1, maxDuration.Microseconds(), significantDigits)}
 			c.events[e] = s
 		}
 	}
 	s.count++
-	// A value beyond the longest is counted as the longest.
-	_ = s.took.RecordValue(min(took, longest).Microseconds())
+	// Longer durations are recorded as maxDuration.
+	_ = s.durations.RecordValue(min(took, maxDuration).Microseconds())
 }
 
-// Snapshot returns the counts and quantiles by kind and outcome, in a form for
+// Snapshot returns the counts and the duration quantiles by kind and outcome, for
 // expvar.
 func (c *Counter) Snapshot() map[string]map[string]float64 {
 	c.mu.Lock()
@@ -71,7 +71,7 @@
 		if e.outcome != "" {
 			name += "/" + e.outcome
 		}
-		milli := func(q float64) float64 { return float64(s.took.ValueAtQuantile(q)) / 1000 }
+		milli := func(q float64) float64 { return float64(s.durations.ValueAtQuantile(q)) / 1000 }
 		list[name] = map[string]float64{
 			"count": float64(s.count), "p50-ms": milli(50), "p90-ms": milli(90), "p99-ms": milli(99), "max-ms": milli(100),
 		}
--- a/monitor/monitor.go
+++ b/monitor/monitor.go
@@ -19,12 +19,12 @@
 // Config holds the settings of a Monitor.
 type Config struct {
 	Address string                       // "IP:port".
-	Ready   func() (ok bool, why string) // Whether the process can do its work.
-	Status  http.Handler                 // Of the status page; nil for none.
+	Ready   func() (ok bool, why string) // Reports whether the process can do its work.
+	Status  http.Handler                 // Serves the status page; nil for none.
 	Logger  hclog.Logger
 }
 
-// Monitor is an admin port.
+// Monitor is an admin server.
 type Monitor struct {
 	config   Config
 	listener net.Listener
@@ -39,7 +39,7 @@
 
 const readTimeout = 5 * time.Second
 
-// New listens at the address.
+// New returns a Monitor that listens at the configured address.
 func New(c Config) (*Monitor, error) {
 	listener, err := net.Listen("tcp", c.Address)
 	if err != nil {
@@ -65,13 +65,13 @@
 // Address returns the address that the monitor listens at.
 func (m *Monitor) Address() string { return m.listener.Addr().String() }
 
-// Handle adds a page.
+// Handle registers a handler for a pattern.
 func (m *Monitor) Handle(pattern string, h http.Handler) { m.mux.Handle(pattern, h) }
 
-// Publish adds a metric.
+// Publish registers a metric.
 func (m *Monitor) Publish(name string, v expvar.Var) { m.vars.Set(name, v) }
 
-// Drain withdraws readiness, so that a balancer sends no more.
+// Drain makes the readiness check fail, so that a balancer sends no more requests.
 func (m *Monitor) Drain() { m.draining.Store(true) }
 
 // Done returns a channel that is closed when Run has ended.
@@ -98,8 +98,8 @@
 	fmt.Fprintln(rw, "ready")
 }
 
-// metrics answers in the form of expvar, with the process's own metrics beside
-// the usual ones.
+// metrics writes all metrics in expvar's JSON format: the process's own metrics
+// under "briarspring", beside the standard ones.
 func (m *Monitor) metrics(rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set("Content-Type", "application/json; charset=utf-8")
 	fmt.Fprintf(rw, "{\n\"briarspring\": %s", m.vars.String())
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder writes log lines without ever holding up who logs: lines
-// wait in a bounded ring, and those that find it full are counted.
+// Package recorder writes log lines without blocking the caller. Lines are
+// buffered in a bounded queue; lines that find it full are dropped and counted.
 package recorder
 
 import (
@@ -11,28 +11,29 @@
 )
 
 const (
-	// ringLength bounds the lines that wait to be written.
-	ringLength = 2048
-	// reportInterval is the least time between two reports of dropped lines.
+	// queueLength bounds the buffered lines.
+	queueLength = 2048
+	// reportInterval is the time between two reports of dropped lines.
 	reportInterval = time.Second
-	// maxBatch bounds the bytes of one write.
+	// maxBatch is the size in bytes from which a write takes no more lines.
 	maxBatch = 64 << 10
 )
 
-// Recorder is a writer that never blocks.
+// Recorder is an io.Writer that never blocks.
 type Recorder struct {
-	to      io.Writer
+	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
 	done    chan struct{}
 }
 
-// New returns a recorder; Run makes it write.
-func New(to io.Writer) *Recorder {
-	return &Recorder{to: to, lines: make(chan []byte, ringLength), done: make(chan struct{})}
+// New returns a Recorder that writes to out once Run is called.
+func New(out io.Writer) *Recorder {
+	return &Recorder{out: out, lines: make(chan []byte, queueLength), done: make(chan struct{})}
 }
 
-// Write takes a line. It never fails.
+// Write queues a copy of the line, or drops it if the queue is full. It never
+// fails.
 func (r *Recorder) Write(line []byte) (int, error) {
 	kept := append([]byte(nil), line...)
 	select {
@@ -43,14 +44,13 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that found the ring full and were not
-// reported yet.
+// Dropped returns the number of dropped lines that were not reported yet.
 func (r *Recorder) Dropped() uint64 { return r.dropped.Load() }
 
 // Done returns a channel that is closed when Run has ended.
 func (r *Recorder) Done() <-chan struct{} { return r.done }
 
-// Run writes until the context ends, and then what still waits.
+// Run writes queued lines until the context ends, and then the remaining ones.
 func (r *Recorder) Run(ctx context.Context) {
 	defer close(r.done)
 	report := time.NewTicker(reportInterval)
@@ -68,7 +68,7 @@
 	}
 }
 
-// flush writes a line and those that wait behind it.
+// flush writes a batch together with queued lines, up to maxBatch.
 func (r *Recorder) flush(batch []byte) {
 	for len(batch) < maxBatch {
 		select {
@@ -79,12 +79,13 @@
 		}
 		break
 	}
-	// A log that can't be written leaves nobody to tell.
-	_, _ = r.to.Write(batch)
+	// There is no other log to report a failed write to.
+	_, _ = r.out.Write(batch)
 }
 
+// report writes a log line with the number of dropped lines, if there are any.
 func (r *Recorder) report() {
 	if n := r.dropped.Swap(0); n > 0 {
-		fmt.Fprintf(r.to, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"count\":%d}\n", n)
+		fmt.Fprintf(r.out, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"count\":%d}\n", n)
 	}
 }
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -34,14 +34,14 @@
 		go r.Run(ctx)
 		_, err := r.Write([]byte("line\n"))
 		assert.NoError(t, err)
-		// From now on the writer is busy for a second, so that the ring fills up.
+		// The writer is now busy for a second, so the queue fills up.
 		synctest.Wait()
 		began := time.Now()
 		for range 5000 {
 			_, err := r.Write([]byte("line\n"))
 			assert.NoError(t, err)
 		}
-		assert.Zero(t, time.Since(began), "nobody waits for the writer")
+		assert.Zero(t, time.Since(began), "Write must not wait for the writer")
 		time.Sleep(10 * time.Second)
 		cancel()
 		<-r.Done()
