--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -1,5 +1,5 @@
-// Package assembler builds the parts of a gateway's and of a scheduler's
-// process from settings.
+// Package assembler wires the parts of gateway, scheduler and host processes
+// together from their settings.
 package assembler
 
 import (
@@ -17,14 +17,14 @@
 	"briarspring/scheduler"
 )
 
-// Platform is what a process uses of the platform.
+// Platform is the part of the platform's interface that a process uses.
 type Platform interface {
 	scheduler.Log
 	scheduler.Workers
 	scheduler.Hosts
 }
 
-// Outside is what a process meets outside of its settings. Zero fields are made
+// Outside holds the external dependencies of a process. Zero fields are created
 // from the settings.
 type Outside struct {
 	Platform Platform
@@ -32,8 +32,9 @@
 	Logs     io.Writer
 }
 
-// fill makes what is missing from the settings.
-func (o Outside) fill(s loader.Settings, role string) (Outside, hclog.Logger, error) {
+// withDefaults creates missing dependencies from the settings, and the process's
+// logger.
+func (o Outside) withDefaults(s loader.Settings, role string) (Outside, hclog.Logger, error) {
 	if o.Logs == nil {
 		o.Logs = os.Stderr
 	}
@@ -59,8 +60,8 @@
 	return o, logger, nil
 }
 
-// streams are those that a process of a data centre follows.
-func streams(dataCentre string) []string {
+// followedStreams returns the streams that the processes of a data centre follow.
+func followedStreams(dataCentre string) []string {
 	return []string{briarspring.ConfigStream, briarspring.PlacementStream(dataCentre)}
 }
 
--- a/assembler/feed_test.go
+++ b/assembler/feed_test.go
@@ -11,7 +11,7 @@
 	"briarspring/router"
 )
 
-// FuzzDecodeFeed puts any message that a peer may send in force.
+// FuzzDecodeFeed applies arbitrary feed messages from a peer.
 func FuzzDecodeFeed(f *testing.F) {
 	data, err := proto.Marshal(&pb.Feed{
 		ConfigOffset: 3, Snapshot: true, Services: []*pb.FeedService{{Name: "ledger", Prefix: "/ledger/"}},
--- a/assembler/host_test.go
+++ b/assembler/fleet_test.go
@@ -25,8 +25,8 @@
 
 var lines = flag.Bool("lines", false, "print the hosts' log lines")
 
-// fleet is a system in virtual time: hosts of some data centres, the platform's
-// stand-ins, and the workflows that were submitted.
+// fleet is a system in virtual time: hosts in several data centres, a simulated
+// platform, and the workflows that were submitted.
 type fleet struct {
 	t       *testing.T
 	store   *imitator.KeyedStore
@@ -35,15 +35,15 @@
 	stop    context.CancelFunc
 	began   time.Time
 
-	mu        sync.Mutex
-	workflows map[briarspring.WorkflowID]*briarspring.Workflow
-	failing   map[briarspring.TaskRef]int // Runs that fail before one is done.
-	hosts     map[string]*testHost
-	lives     int
-	duties    sync.WaitGroup
+	mu         sync.Mutex
+	workflows  map[briarspring.WorkflowID]*briarspring.Workflow
+	failing    map[briarspring.TaskRef]int // Number of runs that fail before one succeeds.
+	hosts      map[string]*testHost
+	hostStarts int
+	goroutines sync.WaitGroup
 }
 
-// testHost is one life of a host.
+// testHost is one process of a host.
 type testHost struct {
 	name   string
 	centre string
@@ -52,10 +52,11 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	leaving bool // Its process is being replaced.
+	leaving bool // The process is being replaced.
 }
 
-// directoryRecord returns the usual queue, and from version 2 on another one.
+// directoryRecord returns a directory with testQueue, and from version 2 on with
+// a second queue.
 func directoryRecord(t *testing.T, version uint64) briarspring.KeyedRecord {
 	d := briarspring.Directory{Version: version, Queues: []briarspring.Queue{testQueue}}
 	if version > 1 {
@@ -93,7 +94,7 @@
 		workflows: map[briarspring.WorkflowID]*briarspring.Workflow{}, failing: map[briarspring.TaskRef]int{},
 		hosts: map[string]*testHost{},
 	}
-	f.pool = imitator.NewPool(imitator.PoolConfig{Seed: seed, Latency: time.Millisecond, Plan: f.planRun, Spec: f.spec})
+	f.pool = imitator.NewPool(imitator.PoolConfig{Seed: seed, Latency: time.Millisecond, Plan: f.runOutcome, Spec: f.spec})
 	f.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond})
 	f.store.Put(briarspring.DirectoryStream, directoryRecord(t, 1))
 	for _, centre := range centres {
@@ -105,13 +106,14 @@
 		}
 	}
 	listing := imitator.NewListing(imitator.ListingConfig{Pool: f.pool, Store: f.store})
-	f.duties.Go(func() { listing.Run(ctx) })
+	f.goroutines.Go(func() { listing.Run(ctx) })
 	time.Sleep(3 * time.Second)
 	return f
 }
 
-// planRun tells how long a run works: its estimate, or for good.
-func (f *fleet) planRun(r briarspring.RunRef) (time.Duration, briarspring.RunEnd) {
+// runOutcome returns how long a run takes and how it ends. Short runs take their
+// estimate, and long-running ones don't end.
+func (f *fleet) runOutcome(r briarspring.RunRef) (time.Duration, briarspring.RunEnd) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workflows[r.Task.Workflow]
@@ -135,16 +137,16 @@
 	return w, &w.Steps[t.Step]
 }
 
-// start begins a new life of a host.
+// start starts a new process of a host.
 func (f *fleet) start(centre string, number int) *testHost {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	f.mu.Lock()
-	f.lives++
-	life := f.lives
+	f.hostStarts++
+	serial := f.hostStarts
 	f.mu.Unlock()
 	name := fmt.Sprintf("host-%s-%d", centre, number)
 	h := &testHost{
-		name: name, centre: centre, caller: fmt.Sprintf("%s#%d", name, life), cancel: cancel, done: make(chan struct{}),
+		name: name, centre: centre, caller: fmt.Sprintf("%s#%d", name, serial), cancel: cancel, done: make(chan struct{}),
 	}
 	var l *launcher.Launcher
 	l, h.intake = assembler.NewCore(assembler.HostConfig{
@@ -163,7 +165,7 @@
 	return h
 }
 
-// logger writes a host's lines when the tests are run with -lines.
+// logger returns a logger that prints a host's log lines if -lines is set.
 func (f *fleet) logger(h *testHost) hclog.Logger {
 	if !*lines {
 		return hclog.NewNullLogger()
@@ -174,7 +176,8 @@
 	})
 }
 
-// cutOff cuts a host off from the store, the workers or both, or mends it.
+// cutOff partitions a host from the store, the workers or both, or ends the
+// partition if cut is false.
 func (f *fleet) cutOff(h *testHost, store, workers, cut bool) {
 	if store {
 		f.store.Cut(h.caller, cut)
@@ -189,7 +192,8 @@
 	}
 }
 
-// kill ends a host's process without a planned stop and starts a new one later.
+// kill ends a host's process without a planned stop, and starts a new one after
+// the down time.
 func (f *fleet) kill(h *testHost, down time.Duration) {
 	f.cutOff(h, true, true, true)
 	h.cancel()
@@ -200,14 +204,14 @@
 	f.start(h.centre, number)
 }
 
-// host returns the present life of a host.
+// host returns the current process of a host.
 func (f *fleet) host(centre string, number int) *testHost {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hosts[fmt.Sprintf("host-%s-%d", centre, number)]
 }
 
-// submit hands a workflow in at a host and at others until it is accepted.
+// submit submits a workflow at one host after the other until one accepts it.
 func (f *fleet) submit(id briarspring.WorkflowID, steps ...briarspring.Step) bool {
 	return f.submitRecurring(id, briarspring.Recurrence{}, steps...)
 }
@@ -221,7 +225,7 @@
 		names := slices.Sorted(maps.Keys(f.hosts))
 		h := f.hosts[names[(int(id[len(id)-1])+try)%len(names)]]
 		f.mu.Unlock()
-		ctx, cancel := context.WithTimeout(f.t.Context(), submitLimit)
+		ctx, cancel := context.WithTimeout(f.t.Context(), submitTimeout)
 		err := h.intake.Submit(ctx, testQueue, &briarspring.Workflow{ID: id, Steps: slices.Clone(steps), Recurrence: r})
 		cancel()
 		if err == nil {
@@ -232,8 +236,8 @@
 	return false
 }
 
-// phase returns a workflow's phase as the first host knows it; queued when it
-// does not know it yet, or can't tell.
+// phase returns a workflow's phase according to the first host, or queued if the
+// host does not know the workflow or returns an error.
 func (f *fleet) phase(id briarspring.WorkflowID) briarspring.Phase {
 	phase, _, err := f.host(f.centres[0], 0).intake.Phase(f.t.Context(), id)
 	if err != nil {
@@ -252,10 +256,10 @@
 	return ""
 }
 
-// end stops everything, so that the bubble of virtual time can close.
+// end stops everything, so that the synctest bubble can exit.
 func (f *fleet) end() {
 	f.stop()
-	f.duties.Wait()
+	f.goroutines.Wait()
 	for _, h := range f.hosts {
 		f.cutOff(h, true, true, true)
 		h.cancel()
@@ -266,8 +270,8 @@
 	time.Sleep(20 * time.Second)
 }
 
-// assertNothingBroken checks the workers' own account.
-func assertNothingBroken(t *testing.T, f *fleet) {
+// assertNoViolations checks that the workers observed no broken invariant.
+func assertNoViolations(t *testing.T, f *fleet) {
 	t.Helper()
 	assert.Empty(t, f.pool.Broken())
 }
@@ -282,7 +286,8 @@
 	assert.Equal(t, want, f.phase(id), "phase of %s after %s", id, within)
 }
 
-// assertRunning waits until every task of a lasting workflow runs once.
+// assertRunning waits until every task of a long-running workflow has exactly one
+// running instance.
 func assertRunning(t *testing.T, f *fleet, id briarspring.WorkflowID, within time.Duration) {
 	t.Helper()
 	deadline := time.Now().Add(within)
@@ -310,7 +315,7 @@
 	return briarspring.Step{Tasks: tasks, Resources: cores(1000), Estimate: 800 * time.Millisecond, After: after}
 }
 
-func lastingStep(tasks int) briarspring.Step {
+func longRunningStep(tasks int) briarspring.Step {
 	return briarspring.Step{Tasks: tasks, Resources: cores(2000), Lasting: true, Image: "watch"}
 }
 
--- a/assembler/gateway.go
+++ b/assembler/gateway.go
@@ -23,9 +23,9 @@
 	"briarspring/sleeper"
 )
 
-// NewGateway returns the parts of a gateway's process.
+// NewGateway returns the launcher of a gateway process.
 func NewGateway(s loader.Settings, o Outside) (*launcher.Launcher, error) {
-	o, logger, err := o.fill(s, "gateway")
+	o, logger, err := o.withDefaults(s, "gateway")
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	m.Publish("executors", expvar.Func(func() any { return len(f.Executors()) }))
 }
 
-// callersPart takes callers' requests.
+// callersPart serves callers' requests.
 type callersPart struct {
 	server    *http.Server
 	guard     *connGuard
@@ -123,33 +123,33 @@
 // Done returns a channel that is closed when Run has ended.
 func (p *callersPart) Done() <-chan struct{} { return p.done }
 
-// Stop withdraws readiness, goes on serving until the balancer has noticed, and
-// then lets the requests in flight finish.
+// Stop withdraws readiness, keeps serving until the balancer has noticed, and
+// then drains the requests in flight.
 func (p *callersPart) Stop(giveUp <-chan struct{}) {
 	p.admin.Drain()
 	p.forwarder.Drain()
 	stopServer(p.server, p.guard, p.notice, giveUp, p.logger)
 }
 
-// stopServer goes on serving until the balancer has noticed that the host is not
-// ready, and then lets the requests in flight finish.
+// stopServer keeps serving for the notice time, in which the balancer sees that
+// the host is not ready, and then drains the requests in flight.
 func stopServer(server *http.Server, guard *connGuard, notice time.Duration, giveUp <-chan struct{}, logger hclog.Logger) {
 	ctx, cancel := launcher.GiveUpContext(giveUp)
 	defer cancel()
-	// A stop that is given up during the notice ends with the shutdown below.
+	// If giveUp closes during the notice time, the shutdown below ends at once.
 	_ = sleeper.For(ctx, notice)
 	if err := guard.drain(server, giveUp); err != nil {
-		logger.Warn("the port is closed already", "error", err)
+		logger.Warn("failed to close the listener", "error", err)
 	}
 	if err := server.Shutdown(ctx); err != nil {
-		logger.Error("requests were cut off by the stop", "error", err)
+		logger.Error("shutdown cut off requests in flight", "error", err)
 		return
 	}
 	logger.Info("all requests in flight have finished")
 }
 
-// feedPart keeps the forwarder's state up to date from any scheduler of the
-// data centre, and leaves the last state in force when there is none.
+// feedPart updates the forwarder's state from any scheduler of the data centre.
+// The last state stays in force while no scheduler answers.
 type feedPart struct {
 	forwarder  *forwarder.Forwarder
 	logger     hclog.Logger
@@ -158,9 +158,9 @@
 	done       chan struct{}
 }
 
-const feedPause = 200 * time.Millisecond
+const feedRetryPause = 200 * time.Millisecond
 
-// Run follows the schedulers' feeds until the context ends.
+// Run subscribes to the schedulers' feeds, one at a time, until the context ends.
 func (p *feedPart) Run(ctx context.Context) {
 	defer close(p.done)
 	for _, c := range p.schedulers {
@@ -168,11 +168,11 @@
 	}
 	for i := 0; ctx.Err() == nil; i++ {
 		c := p.schedulers[i%len(p.schedulers)]
-		err := c.Subscribe(ctx, p.name, p.take)
+		err := c.Subscribe(ctx, p.name, p.applyMessage)
 		if ctx.Err() == nil {
-			p.logger.Warn("feed broke off, trying the next scheduler", "error", err)
+			p.logger.Warn("feed ended, trying the next scheduler", "error", err)
 		}
-		t := time.NewTimer(feedPause)
+		t := time.NewTimer(feedRetryPause)
 		select {
 		case <-ctx.Done():
 		case <-t.C:
@@ -184,7 +184,8 @@
 // Done returns a channel that is closed when Run has ended.
 func (p *feedPart) Done() <-chan struct{} { return p.done }
 
-// OlderStateError tells that a scheduler's state is older than the one in force.
+// OlderStateError is returned when a scheduler's state is older than the one in
+// force.
 type OlderStateError struct {
 	ConfigOffset    uint64
 	PlacementOffset uint64
@@ -192,18 +193,18 @@
 
 // Error implements error.
 func (e *OlderStateError) Error() string {
-	return fmt.Sprintf("its state (configuration %d, placement %d) is older than the one in force",
+	return fmt.Sprintf("state of the scheduler (configuration %d, placement %d) is older than the one in force",
 		e.ConfigOffset, e.PlacementOffset)
 }
 
-// take puts a message of a feed in force. The messages that follow one that
-// was refused build on it, so the whole feed is given up then.
-func (p *feedPart) take(m *pb.Feed) error {
+// applyMessage applies a feed message to the forwarder. Later messages build
+// on earlier ones, so a refused message ends the whole feed.
+func (p *feedPart) applyMessage(m *pb.Feed) error {
 	u := decodeFeed(m)
 	if !p.forwarder.Apply(u) {
 		return &OlderStateError{ConfigOffset: m.GetConfigOffset(), PlacementOffset: m.GetPlacementOffset()}
 	}
-	p.logger.Debug("state in force", "config-offset", m.GetConfigOffset(), "placement-offset", m.GetPlacementOffset(),
+	p.logger.Debug("applied state", "config-offset", m.GetConfigOffset(), "placement-offset", m.GetPlacementOffset(),
 		"executors", len(u.Executors), "removed", len(u.Removed))
 	return nil
 }
--- a/assembler/guard.go
+++ b/assembler/guard.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// drainPoll is the time between two looks at the connections of a server that
-// stops.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is the time between two checks of the connections of a server
+// that stops.
+const drainPollInterval = 20 * time.Millisecond
 
 // connGuard lets a server stop without losing a request that it has read.
-// http.Server.Shutdown closes connections that it takes for idle, also while the
-// bytes of a request have been read and not been looked at yet, and drops
-// requests that it parses later; on a host with little processor time both
-// happen. So connections are ended one by one before the shutdown.
+// http.Server.Shutdown closes connections that it considers idle even when bytes
+// of a request were read but not parsed yet, and drops requests that it parses
+// later. Both happen on a host with little processor time. So connections are
+// closed one by one before the shutdown.
 type connGuard struct {
 	net.Listener
 
@@ -23,8 +23,8 @@
 	open map[*guardedConn]bool
 }
 
-// guardConnections has the server's connections guarded. The server must serve
-// the guard, which is a listener.
+// guardConnections returns a listener that guards the server's connections. The
+// server must serve on it.
 func guardConnections(server *http.Server, l net.Listener) *connGuard {
 	server.ConnState = func(c net.Conn, state http.ConnState) {
 		if conn, ok := c.(*guardedConn); ok {
@@ -47,12 +47,12 @@
 	return conn, nil
 }
 
-// drain takes no new connections, and returns when every open one has ended
-// after its last answer, or the channel closes.
+// drain stops accepting connections. It returns when every open connection has
+// closed after its last response, or when giveUp is closed.
 func (g *connGuard) drain(server *http.Server, giveUp <-chan struct{}) error {
 	err := g.Listener.Close()
 	server.SetKeepAlivesEnabled(false)
-	poll := time.NewTicker(drainPoll)
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
 	for g.endReads() > 0 {
 		select {
@@ -64,8 +64,8 @@
 	return err
 }
 
-// endReads ends the reads that wait for a request, and returns the number of
-// open connections.
+// endReads interrupts the reads that wait for a request, and returns the number
+// of open connections.
 func (g *connGuard) endReads() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,14 +75,14 @@
 	return len(g.open)
 }
 
-func (g *connGuard) forget(c *guardedConn) {
+func (g *connGuard) remove(c *guardedConn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.open, c)
 }
 
-// guardedConn is a connection that is not closed between requests while bytes
-// of the next one arrive.
+// guardedConn is a connection that stays open between requests while bytes of
+// the next one arrive.
 type guardedConn struct {
 	net.Conn
 	guard *connGuard
@@ -93,7 +93,7 @@
 	arrived bool // Bytes of the next request were read.
 }
 
-// setState follows what the server makes of the connection.
+// setState records the server's state of the connection.
 func (c *guardedConn) setState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Read reads and notes that bytes have arrived.
+// Read reads from the connection and records whether bytes of a request arrived.
 func (c *guardedConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	c.reading = true
@@ -121,8 +121,9 @@
 	return n, err
 }
 
-// endRead ends a read that waits for a request. The server closes the connection
-// when that has brought nothing, and serves the request otherwise.
+// endRead interrupts a read that waits for a request, and reports whether the
+// server still has to handle the read: it closes the connection if nothing
+// arrived, and serves the request otherwise.
 func (c *guardedConn) endRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,12 +134,12 @@
 	return !c.active && c.arrived
 }
 
-// Close closes the connection, unless it waits for a request or has got one that
-// is not being served yet: the server closes it later then.
+// Close closes the connection, unless it waits for a request or has received one
+// that is not being served yet. The server closes it later in that case.
 func (c *guardedConn) Close() error {
 	if c.endRead() {
 		return nil
 	}
-	c.guard.forget(c)
+	c.guard.remove(c)
 	return c.Conn.Close()
 }
--- a/assembler/guard_test.go
+++ b/assembler/guard_test.go
@@ -13,11 +13,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowListener hands out connections whose reads take a while to return, as on a
-// host whose processor is busy.
+// slowListener accepts connections whose reads return late, as on a host with a
+// busy processor.
 type slowListener struct {
 	net.Listener
-	read chan struct{} // Has a value when bytes were read that are not handed on yet.
+	read chan struct{} // Signalled when bytes were read but not returned yet.
 }
 
 func (l *slowListener) Accept() (net.Conn, error) {
@@ -42,8 +42,8 @@
 	return n, err
 }
 
-// ask sends a request on a kept connection and returns the status of the answer;
-// zero for none.
+// ask sends a request on a kept-alive connection and returns the status of the
+// response, or zero if there is none.
 func ask(conn net.Conn, r *bufio.Reader) int {
 	if _, err := fmt.Fprintf(conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 		return 0
@@ -56,8 +56,8 @@
 	return resp.StatusCode
 }
 
-// A host that was stopped closed a kept connection as idle when it had read a
-// request on it and not looked at it yet; the caller got no answer.
+// A stopping host closed a kept-alive connection as idle after it had read a
+// request on it but before it had parsed the request. The caller got no response.
 func TestStopWithARequestJustRead(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -85,5 +85,5 @@
 	_, err = idleAnswers.ReadByte()
 	assert.Error(t, err, "the idle connection is closed")
 	_, err = answers.ReadByte()
-	assert.Error(t, err, "and the other one after its answer")
+	assert.Error(t, err, "the other one is closed after its response")
 }
--- a/assembler/history_test.go
+++ b/assembler/history_test.go
@@ -22,24 +22,24 @@
 	firstSeed = flag.Int("first-seed", 1, "seed of the first history")
 )
 
-// history is a run of random work and failures.
+// history is a run of random submissions, cancellations and failures.
 type history struct {
 	*fleet
 	random    *rand.Rand
-	kinds     *rand.Rand // Chooses gangs and recurrences; nil for none.
+	kinds     *rand.Rand // Chooses gangs and recurrences; nil disables both.
 	accepted  []briarspring.WorkflowID
 	cancelled map[briarspring.WorkflowID]bool
-	twice     map[briarspring.WorkflowID]bool // Accepted by one or more of several hosts.
+	multiHost map[briarspring.WorkflowID]bool // Submitted at several hosts, accepted by at least one.
 	down      map[string]bool                 // Workers that crashed.
 	out       string                          // Data centre that is out of service.
 	log       []string
 }
 
-// acts are what may happen; each returns after it began.
-var acts = map[string]func(h *history){
+// actions are the events of a history. Each returns once its event has started.
+var actions = map[string]func(h *history){
 	"submit": func(h *history) { h.submitRandom() },
 	"kill": func(h *history) {
-		host, down := h.randomHost(), h.upTo(5*time.Second)
+		host, down := h.randomHost(), h.randomDuration(5*time.Second)
 		h.replace(host, func() { h.kill(host, down) })
 	},
 	"stop": func(h *history) {
@@ -62,20 +62,20 @@
 	},
 	"late-orders": func(h *history) {
 		h.pool.LoseOrders(0.2)
-		time.Sleep(h.upTo(4 * time.Second))
+		time.Sleep(h.randomDuration(4 * time.Second))
 		h.pool.LoseOrders(0)
 	},
 	"crash-worker": func(h *history) {
-		id, down := h.randomWorker(), h.upTo(8*time.Second)
+		id, down := h.randomWorker(), h.randomDuration(8*time.Second)
 		h.mu.Lock()
-		wasDown := h.down[id]
+		alreadyDown := h.down[id]
 		h.down[id] = true
 		h.mu.Unlock()
-		if wasDown {
+		if alreadyDown {
 			return
 		}
 		h.pool.Crash(id)
-		h.duties.Go(func() {
+		h.goroutines.Go(func() {
 			time.Sleep(down)
 			h.pool.Restart(id)
 			h.mu.Lock()
@@ -90,8 +90,8 @@
 		h.out = h.centres[h.random.IntN(len(h.centres))]
 		h.store.Put(briarspring.DirectoryStream, imitator.OutRecord(h.out, true))
 	},
-	"back":  func(h *history) { h.takeBack() },
-	"power": func(h *history) { h.power() },
+	"back":  func(h *history) { h.returnToService() },
+	"power": func(h *history) { h.failPower() },
 	"cancel": func(h *history) {
 		if len(h.accepted) == 0 {
 			return
@@ -102,45 +102,47 @@
 		}
 		h.cancelled[id] = true
 		host := h.randomHost()
-		ctx, cancel := context.WithTimeout(h.t.Context(), submitLimit)
+		ctx, cancel := context.WithTimeout(h.t.Context(), submitTimeout)
 		defer cancel()
 		known, err := host.intake.Cancel(ctx, id)
-		h.note("cancel %s at %s: %t %v", id, host.caller, known, err)
+		h.logf("cancel %s at %s: %t %v", id, host.caller, known, err)
 	},
 }
 
-// actNames fixes the order, so that a seed chooses the same acts every time.
-var actNames = []string{
+// actionNames fixes the order, so that a seed always chooses the same actions.
+var actionNames = []string{
 	"submit", "submit", "submit", "submit", "kill", "stop", "cut-store", "cut-workers", "cut-all", "store-down", "store-hush",
 	"store-slow", "store-lossy", "store-forget", "late-orders", "crash-worker", "crash-worker", "out", "back", "cancel",
 }
 
-// laterActs came after seeds of earlier histories were kept.
-var laterActs = append(slices.Clone(actNames), "power")
+// allActionNames adds the actions that came after the seeds in regressions, whose
+// choices must not change.
+var allActionNames = append(slices.Clone(actionNames), "power")
 
 const (
-	// powerCallers workflows are handed in, powerPause apart at most, while hosts
-	// come back that are down for powerDown at most; so some find hosts that restore.
-	powerCallers = 12
-	powerDown    = time.Second
-	powerPause   = 100 * time.Millisecond
-	// submitTries with submitPause between them last longer than hosts need to be
-	// up, submitLimit bounds one of them below the callers' 3 s.
-	submitTries = 40
-	submitPause = 50 * time.Millisecond
-	submitLimit = 2500 * time.Millisecond
+	// powerFailureSubmissions workflows are submitted, at most maxSubmissionGap
+	// apart, while hosts are down for at most maxPowerFailure, so that some reach
+	// hosts that are restoring their state.
+	powerFailureSubmissions = 12
+	maxPowerFailure         = time.Second
+	maxSubmissionGap        = 100 * time.Millisecond
+	// submitTries, submitPause apart, take longer than a host needs to start.
+	// submitTimeout bounds one of them below the callers' 3 s.
+	submitTries   = 40
+	submitPause   = 50 * time.Millisecond
+	submitTimeout = 2500 * time.Millisecond
 )
 
-// power kills all hosts at once. While they come back, callers hand the same
-// workflows in at several of them.
-func (h *history) power() {
+// failPower kills all hosts at once. While they restart, callers submit the same
+// workflows at several of them.
+func (h *history) failPower() {
 	for _, centre := range h.centres {
 		for i := range hostsPerCentre {
-			host, down := h.host(centre, i), h.upTo(powerDown)
+			host, down := h.host(centre, i), h.randomDuration(maxPowerFailure)
 			h.replace(host, func() { h.kill(host, down) })
 		}
 	}
-	for range powerCallers {
+	for range powerFailureSubmissions {
 		id := briarspring.WorkflowID(fmt.Sprintf("%015x%x", len(h.workflows)+1, h.random.IntN(16)))
 		steps := []briarspring.Step{shortStep(1)}
 		h.mu.Lock()
@@ -148,44 +150,44 @@
 		h.mu.Unlock()
 		for _, centre := range h.centres {
 			number := h.random.IntN(hostsPerCentre)
-			h.duties.Go(func() { h.submitAt(centre, number, id, steps) })
+			h.goroutines.Go(func() { h.submitAt(centre, number, id, steps) })
 		}
-		time.Sleep(h.upTo(powerPause))
+		time.Sleep(h.randomDuration(maxSubmissionGap))
 	}
-	h.note("power is back")
+	h.logf("power restored")
 }
 
-// submitAt hands a workflow in at the present life of a host until it is
+// submitAt submits a workflow at the current process of a host until it is
 // accepted.
 func (h *history) submitAt(centre string, number int, id briarspring.WorkflowID, steps []briarspring.Step) {
 	for range submitTries {
-		ctx, cancel := context.WithTimeout(h.t.Context(), submitLimit)
+		ctx, cancel := context.WithTimeout(h.t.Context(), submitTimeout)
 		err := h.host(centre, number).intake.Submit(ctx, testQueue, &briarspring.Workflow{ID: id, Steps: slices.Clone(steps)})
 		cancel()
 		if err == nil {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.twice[id] = true
+			h.multiHost[id] = true
 			return
 		}
 		time.Sleep(submitPause)
 	}
 }
 
-// replace begins to replace a host's process, unless that is going on already.
+// replace starts replacing a host's process, unless a replacement is in progress.
 func (h *history) replace(host *testHost, how func()) {
 	if host.leaving {
 		return
 	}
 	host.leaving = true
-	h.duties.Go(how)
+	h.goroutines.Go(how)
 }
 
-func (h *history) note(format string, args ...any) {
+func (h *history) logf(format string, args ...any) {
 	h.log = append(h.log, fmt.Sprintf("%8.3f ", time.Since(h.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (h *history) upTo(d time.Duration) time.Duration {
+func (h *history) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(h.random.Int64N(int64(d))) + 100*time.Millisecond
 }
 
@@ -198,25 +200,26 @@
 }
 
 func (h *history) cutForAWhile(store, workers bool) {
-	host, length := h.randomHost(), h.upTo(8*time.Second)
+	host, length := h.randomHost(), h.randomDuration(8*time.Second)
 	h.cutOff(host, store, workers, true)
-	h.duties.Go(func() {
+	h.goroutines.Go(func() {
 		time.Sleep(length)
 		h.cutOff(host, store, workers, false)
 	})
 }
 
-// storeFaults breaks the store for a while. Cuts of single hosts end with it.
+// storeFaults injects store faults for a while. The end of the faults also ends
+// cuts of single hosts.
 func (h *history) storeFaults(f imitator.KeyedFaults) {
 	if f.Latency == 0 {
 		f.Latency = 5 * time.Millisecond
 	}
 	h.store.SetFaults(f)
-	time.Sleep(h.upTo(7 * time.Second))
+	time.Sleep(h.randomDuration(7 * time.Second))
 	h.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond})
 }
 
-func (h *history) takeBack() {
+func (h *history) returnToService() {
 	if h.out != "" {
 		h.store.Put(briarspring.DirectoryStream, imitator.OutRecord(h.out, false))
 		h.out = ""
@@ -227,7 +230,7 @@
 	id := briarspring.WorkflowID(fmt.Sprintf("%015x%x", len(h.workflows)+1, h.random.IntN(16)))
 	var steps []briarspring.Step
 	if h.random.IntN(3) == 0 {
-		steps = append(steps, lastingStep(1+h.random.IntN(3)))
+		steps = append(steps, longRunningStep(1+h.random.IntN(3)))
 	} else {
 		for i := range 1 + h.random.IntN(3) {
 			s := shortStep(1 + h.random.IntN(4))
@@ -254,22 +257,22 @@
 		}
 	}
 	ok := h.submitRecurring(id, recurrence, steps...)
-	h.note("submit %s accepted %t lasting %t occurrences %d", id, ok, steps[0].Lasting, recurrence.Times)
+	h.logf("submit %s accepted %t lasting %t occurrences %d", id, ok, steps[0].Lasting, recurrence.Times)
 	if ok {
 		h.accepted = append(h.accepted, id)
 	}
 }
 
-// heal ends every failure.
+// heal ends every failure and waits for recovery.
 func (h *history) heal() {
-	h.takeBack()
+	h.returnToService()
 	h.pool.LoseOrders(0)
 	h.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond})
 	time.Sleep(40 * time.Second)
 }
 
 // TestHistories runs random histories of work and failures on two data centres
-// with two hosts each, and checks the workers' own account.
+// with two hosts each, and checks the invariants that the workers observe.
 func TestHistories(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*histories; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -278,11 +281,11 @@
 	}
 }
 
-// regressions are seeds that failed once, with the cause, before histories knew
-// gangs and recurrences.
+// regressions maps seeds that once failed to the cause. They predate gangs and
+// recurrences, so they run without both.
 var regressions = map[uint64]string{
-	264:  "a worker that was reborn held a longer lease than its owner reckoned with",
-	2373: "a task came back to a data centre while its workflow's dropping was being stored",
+	264:  "a restarted worker held a longer lease than its owner assumed",
+	2373: "a task came back to a data centre while the removal of its workflow was being stored",
 }
 
 func TestRegressions(t *testing.T) {
@@ -293,30 +296,30 @@
 	}
 }
 
-// smallPage makes a host read many pages when it restores the shared state, while
+// smallPageSize makes a host read many pages to restore the shared state while
 // others append to it.
-const smallPage = 3
+const smallPageSize = 3
 
 func runHistory(t *testing.T, seed uint64, kinds *rand.Rand) {
 	h := &history{
 		fleet: newFleet(t, seed, tartu, viljandi), random: rand.New(rand.NewPCG(seed, 7)), kinds: kinds,
-		cancelled: map[briarspring.WorkflowID]bool{}, twice: map[briarspring.WorkflowID]bool{}, down: map[string]bool{},
+		cancelled: map[briarspring.WorkflowID]bool{}, multiHost: map[briarspring.WorkflowID]bool{}, down: map[string]bool{},
 	}
 	defer h.end()
-	names := actNames
+	names := actionNames
 	if kinds != nil {
-		h.store.SetPage(smallPage)
-		names = laterActs
+		h.store.SetPage(smallPageSize)
+		names = allActionNames
 	}
 	for range 12 + h.random.IntN(18) {
 		name := names[h.random.IntN(len(names))]
-		h.note("%s", name)
-		acts[name](h)
-		time.Sleep(h.upTo(1500 * time.Millisecond))
+		h.logf("%s", name)
+		actions[name](h)
+		time.Sleep(h.randomDuration(1500 * time.Millisecond))
 	}
 	h.heal()
-	assertNothingBroken(t, h.fleet)
-	for _, id := range append(h.accepted, slices.Sorted(maps.Keys(h.twice))...) {
+	assertNoViolations(t, h.fleet)
+	for _, id := range append(h.accepted, slices.Sorted(maps.Keys(h.multiHost))...) {
 		h.assertEnd(id)
 	}
 	if t.Failed() {
@@ -326,7 +329,7 @@
 	}
 }
 
-// assertEnd checks that an accepted workflow came to its end.
+// assertEnd checks that an accepted workflow reached its expected phase.
 func (h *history) assertEnd(id briarspring.WorkflowID) {
 	phase := h.phase(id)
 	switch {
--- a/assembler/host.go
+++ b/assembler/host.go
@@ -24,20 +24,21 @@
 	"briarspring/tracker"
 )
 
-// HostConfig holds what a host that runs workflows meets outside.
+// HostConfig holds the settings and external dependencies of a host that runs
+// workflows.
 type HostConfig struct {
 	Host        string
 	DataCentre  string
 	DataCentres []string
 	MilliCPU    int // Thousandths of a core.
 	MaxLease    time.Duration
-	StopTime    time.Duration // For finishing what is in flight.
-	KeepFinal   time.Duration // Least time for which finished workflows stay known.
+	StopTime    time.Duration // For each part to finish its work in flight.
+	KeepFinal   time.Duration // Minimum time for which finished workflows are remembered.
 	FrontAddr   string
 	ReadyAddr   string
 	MetricsAddr string // Empty for none.
 
-	OperatorsAddr string // Of the operators' calls; empty for none.
+	OperatorsAddr string // Serves the operators' calls; empty for none.
 
 	Store   steward.Store
 	Workers steward.Workers
@@ -54,38 +55,41 @@
 }
 
 const (
-	// sharedWait of a read of the shared stream for the next record.
-	sharedWait = time.Second
-	// ownerInterval is the least time between two reads of the shared stream by
-	// an owner, which starts what it reads.
-	ownerInterval = 35 * time.Millisecond
-	// followerInterval is the same for other hosts, which only tell how far
-	// workflows have come.
-	followerInterval = 200 * time.Millisecond
-	// directoryWait of a read for the operators' next change. With its time-out it
-	// stays below the 3 s after which a host that was cut off counts as in touch.
-	directoryWait = time.Second
-	// workersInterval is the least time between two reads of the list of
-	// workers; entries change every 1.5 s.
-	workersInterval = 250 * time.Millisecond
-	// usualLease of workers. A successor of a lost owner renews it after about
-	// 3 s, and lasting tasks of a lost worker start elsewhere when it has ended.
-	usualLease = 5500 * time.Millisecond
-	// keepMargin is added to the time for which finished workflows stay known, for
-	// hosts that read of the end later.
-	keepMargin = 30 * time.Second
-	// presenceTimeout of one try to announce the process.
+	// sharedReadWait is how long a read of the shared stream waits for the next
+	// record.
+	sharedReadWait = time.Second
+	// ownerReadInterval is the minimum time between two reads of the shared stream
+	// by an owner, which starts the workflows that it reads.
+	ownerReadInterval = 35 * time.Millisecond
+	// followerReadInterval is the same for other hosts, which only report the
+	// phases of workflows.
+	followerReadInterval = 200 * time.Millisecond
+	// directoryReadWait is how long a read waits for the operators' next change.
+	// With the call's timeout it stays below 3 s, after which a host that was cut
+	// off counts as reconnected.
+	directoryReadWait = time.Second
+	// workersReadInterval is the minimum time between two reads of the list of
+	// workers, whose entries change every 1.5 s.
+	workersReadInterval = 250 * time.Millisecond
+	// defaultLease is the workers' lease. A successor of a lost owner renews it after
+	// about 3 s. Long-running tasks of a lost worker start elsewhere once it has
+	// expired.
+	defaultLease = 5500 * time.Millisecond
+	// finalRetentionMargin is added to the time for which finished workflows are
+	// remembered, for hosts that read of the end later.
+	finalRetentionMargin = 30 * time.Second
+	// presenceTimeout bounds one attempt to announce the process.
 	presenceTimeout = 2 * time.Second
 )
 
-// NewHost returns the parts of a host that runs workflows.
+// NewHost returns the launcher of a host that runs workflows.
 func NewHost(c HostConfig) (*launcher.Launcher, error) {
 	l, intake := NewCore(c)
 	return l, addFront(l, c, intake)
 }
 
-// NewCore returns the parts of a host without the servers for callers, and what
-// serves their requests.
+// NewCore returns the launcher of a host without the servers for callers, and the
+// admitter that handles callers' requests.
 func NewCore(c HostConfig) (*launcher.Launcher, *admitter.Admitter) {
 	incarnation := time.Now().UnixMilli()
 	logger := c.Logger
@@ -101,35 +105,35 @@
 			Stream: stream, Store: c.Store, Sink: sink, Wait: wait, Interval: interval, Enabled: enabled, Now: c.Now, Logger: logger,
 		})
 	}
-	reading := track(briarspring.SharedStream, replica, sharedWait, func() time.Duration {
+	sharedTracker := track(briarspring.SharedStream, replica, sharedReadWait, func() time.Duration {
 		if owned.Load() > 0 {
-			return ownerInterval
+			return ownerReadInterval
 		}
-		return followerInterval
+		return followerReadInterval
 	}, nil)
-	directory := track(briarspring.DirectoryStream, catalogue, directoryWait, nil, nil)
-	listing := track(briarspring.WorkersStream, list, 0, func() time.Duration { return workersInterval }, func() bool { return owned.Load() > 0 })
+	directoryTracker := track(briarspring.DirectoryStream, catalogue, directoryReadWait, nil, nil)
+	workersTracker := track(briarspring.WorkersStream, list, 0, func() time.Duration { return workersReadInterval }, func() bool { return owned.Load() > 0 })
 	intake := admitter.New(admitter.Config{
 		DataCentre: c.DataCentre, DataCentres: c.DataCentres, Shared: shared, Catalogue: catalogue,
-		Replica: replica, Reading: reading, Now: c.Now, Logger: logger,
+		Replica: replica, Reading: sharedTracker, Now: c.Now, Logger: logger,
 	})
 	l := launcher.New(logger, c.StopTime)
 	if c.Logs != nil {
 		l.Add("logs", c.Logs)
 	}
 	l.Add("shared", shared)
-	l.Add("reading", reading)
-	l.Add("directory", directory)
-	l.Add("listing", listing)
+	l.Add("reading", sharedTracker)
+	l.Add("directory", directoryTracker)
+	l.Add("listing", workersTracker)
 	l.Add("presence", newPresence(c, incarnation, shared))
-	stewards := map[string]*steward.Steward{}
+	owners := map[string]*steward.Owner{}
 	for _, name := range c.DataCentres {
-		stewards[name] = steward.New(steward.Config{
-			Host: c.Host, HostCentre: c.DataCentre, DataCentre: name, DataCentres: c.DataCentres, Incarnation: incarnation, MilliCPU: c.MilliCPU,
-			Lease: min(usualLease, c.MaxLease), MaxLease: c.MaxLease, KeepFinal: c.KeepFinal + keepMargin,
+		owners[name] = steward.New(steward.Config{
+			Host: c.Host, HostDataCentre: c.DataCentre, DataCentre: name, DataCentres: c.DataCentres, Incarnation: incarnation, MilliCPU: c.MilliCPU,
+			Lease: min(defaultLease, c.MaxLease), MaxLease: c.MaxLease, KeepFinal: c.KeepFinal + finalRetentionMargin,
 			Store: c.Store, Shared: shared, Workers: c.Workers, List: list, Catalogue: catalogue, Replica: replica,
-			Reading: reading, Listing: listing, NewPacer: func() steward.Pacer { return pacer.New() }, Now: c.Now, Logger: logger,
-			Follow: func(on bool) {
+			ReplicaFreshness: sharedTracker, ListFreshness: workersTracker, NewPacer: func() steward.Pacer { return pacer.New() }, Now: c.Now, Logger: logger,
+			OnOwnership: func(on bool) {
 				if on {
 					owned.Add(1)
 				} else {
@@ -137,15 +141,15 @@
 				}
 			},
 		})
-		l.Add("steward-"+name, stewards[name])
+		l.Add("steward-"+name, owners[name])
 	}
-	streams := map[string]*tracker.Tracker{"shared": reading, "directory": directory, "workers": listing}
-	addMetrics(l, c, intake, calls, streams, stewards)
-	addOperators(l, c, intake, stewards)
+	streams := map[string]*tracker.Tracker{"shared": sharedTracker, "directory": directoryTracker, "workers": workersTracker}
+	addMetrics(l, c, intake, calls, streams, owners)
+	addOperators(l, c, intake, owners)
 	return l, intake
 }
 
-// addFront adds the servers for callers and for the balancer.
+// addFront adds the servers for callers and for the balancer's readiness checks.
 func addFront(l *launcher.Launcher, c HostConfig, intake *admitter.Admitter) error {
 	front, err := newFrontPart(c.FrontAddr, c.Front(intake), c.Logger)
 	if err != nil {
@@ -160,7 +164,7 @@
 	return nil
 }
 
-// presence announces the life of this process in the shared stream.
+// presence announces this process in the shared stream.
 type presence struct {
 	record briarspring.KeyedRecord
 	shared *appender.Appender
@@ -182,7 +186,8 @@
 // Done returns a channel that is closed when Run has ended.
 func (p *presence) Done() <-chan struct{} { return p.done }
 
-// Run announces the process until that is stored, and waits for the context.
+// Run announces the process, retrying until that is stored, and then waits for
+// the context to end.
 func (p *presence) Run(ctx context.Context) {
 	defer close(p.done)
 	for ctx.Err() == nil {
@@ -192,12 +197,12 @@
 		if err == nil {
 			break
 		}
-		p.logger.Warn("presence is not announced yet", "error", err)
+		p.logger.Warn("failed to announce the host, retrying", "error", err)
 	}
 	<-ctx.Done()
 }
 
-// frontPart serves callers. When it stops, requests in flight are answered.
+// frontPart serves callers, and drains requests in flight when it stops.
 type frontPart struct {
 	server   *http.Server
 	guard    *connGuard
@@ -207,13 +212,13 @@
 }
 
 const (
-	// callerIdle closes kept connections of callers; the platform's
+	// frontIdleTimeout is the idle timeout of callers' connections; the platform's
 	// configurations state 15 s.
-	callerIdle = 15 * time.Second
-	// callerHeader bounds the time for a request's headers.
-	callerHeader = 3 * time.Second
-	// maxCallerHeader bounds the bytes of a request's headers.
-	maxCallerHeader = 16 << 10
+	frontIdleTimeout = 15 * time.Second
+	// frontHeaderTimeout bounds the time to read a request's headers.
+	frontHeaderTimeout = 3 * time.Second
+	// maxFrontHeaderBytes bounds the size of a request's headers.
+	maxFrontHeaderBytes = 16 << 10
 )
 
 func newFrontPart(address string, h http.Handler, logger hclog.Logger) (*frontPart, error) {
@@ -222,7 +227,7 @@
 		return nil, err
 	}
 	server := &http.Server{
-		Handler: h, ReadHeaderTimeout: callerHeader, IdleTimeout: callerIdle, MaxHeaderBytes: maxCallerHeader,
+		Handler: h, ReadHeaderTimeout: frontHeaderTimeout, IdleTimeout: frontIdleTimeout, MaxHeaderBytes: maxFrontHeaderBytes,
 	}
 	return &frontPart{server: server, guard: guardConnections(server, listener), logger: logger, done: make(chan struct{})}, nil
 }
@@ -238,13 +243,12 @@
 	<-ctx.Done()
 }
 
-// noticeTime is how long a stopping host still takes requests on connections
-// that come in, until the balancer has seen that it is not ready: two misses a
-// second apart.
+// noticeTime is how long a stopping host still accepts connections, so that the
+// balancer can see that it is not ready: two failed checks, a second apart.
 const noticeTime = 2300 * time.Millisecond
 
-// Stop withdraws readiness, goes on serving until the balancer has noticed, and
-// finishes the requests in flight.
+// Stop withdraws readiness, keeps serving until the balancer has noticed, and
+// then drains the requests in flight.
 func (p *frontPart) Stop(giveUp <-chan struct{}) {
 	p.stopping.Store(true)
 	stopServer(p.server, p.guard, noticeTime, giveUp, p.logger)
--- a/assembler/host_metrics.go
+++ b/assembler/host_metrics.go
@@ -16,37 +16,37 @@
 	"briarspring/tracker"
 )
 
-// meteredStore counts the calls to the platform's log.
+// meteredStore records metrics of the calls to the platform's log.
 type meteredStore struct {
 	steward.Store
 	calls *counter.Counter
 }
 
-// Append appends and counts.
+// Append forwards the call and records its outcome and duration.
 func (m *meteredStore) Append(ctx context.Context, stream string, records []briarspring.KeyedRecord, fence briarspring.Fence) (uint64, error) {
-	began := time.Now()
+	start := time.Now()
 	next, err := m.Store.Append(ctx, stream, records, fence)
-	m.calls.Observe("append", outcomeOf(err), time.Since(began))
+	m.calls.Observe("append", outcomeOf(err), time.Since(start))
 	return next, err
 }
 
-// Read reads and counts.
+// Read forwards the call and records its outcome and duration.
 func (m *meteredStore) Read(ctx context.Context, stream string, from uint64, wait time.Duration) (briarspring.KeyedPage, error) {
-	began := time.Now()
+	start := time.Now()
 	page, err := m.Store.Read(ctx, stream, from, wait)
-	m.calls.Observe("read-"+stream, outcomeOf(err), time.Since(began))
+	m.calls.Observe("read-"+stream, outcomeOf(err), time.Since(start))
 	return page, err
 }
 
-// Newest reads and counts.
+// Newest forwards the call and records its outcome and duration.
 func (m *meteredStore) Newest(ctx context.Context, stream, after string) (briarspring.KeyedPage, bool, error) {
-	began := time.Now()
+	start := time.Now()
 	page, more, err := m.Store.Newest(ctx, stream, after)
-	m.calls.Observe("newest", outcomeOf(err), time.Since(began))
+	m.calls.Observe("newest", outcomeOf(err), time.Since(start))
 	return page, more, err
 }
 
-// outcomeOf names the outcome of a call to the log.
+// outcomeOf returns the metric name of the outcome of a call to the log.
 func outcomeOf(err error) string {
 	var notDone *briarspring.NotDoneError
 	var fenced *briarspring.FencedError
@@ -64,8 +64,9 @@
 	return "doubt"
 }
 
-// addMetrics adds the metrics port. A host serves its callers without one.
-func addMetrics(l *launcher.Launcher, c HostConfig, intake *admitter.Admitter, calls *counter.Counter, streams map[string]*tracker.Tracker, stewards map[string]*steward.Steward) {
+// addMetrics adds the metrics server. A host keeps serving callers if it can't
+// listen on the port.
+func addMetrics(l *launcher.Launcher, c HostConfig, intake *admitter.Admitter, calls *counter.Counter, streams map[string]*tracker.Tracker, owners map[string]*steward.Owner) {
 	if c.MetricsAddr == "" {
 		return
 	}
@@ -87,7 +88,7 @@
 	}))
 	m.Publish("owner-of", expvar.Func(func() any {
 		owned := map[string]any{}
-		for name, s := range stewards {
+		for name, s := range owners {
 			if c, ok := s.Counters(); ok {
 				owned[name] = countersOf(c)
 			}
@@ -97,7 +98,7 @@
 	l.Add("metrics", m)
 }
 
-// countersOf names what an owner did.
+// countersOf returns an owner's counters by metric name.
 func countersOf(c dispatcher.Counters) map[string]uint64 {
 	return map[string]uint64{
 		"starts": c.Starts, "done": c.Done, "failed": c.Failed, "lost": c.Lost, "stops": c.Stops,
--- a/assembler/host_operators.go
+++ b/assembler/host_operators.go
@@ -10,18 +10,18 @@
 	"briarspring/steward"
 )
 
-// addOperators adds the port of the operators' calls. A host serves its callers
-// without one.
-func addOperators(l *launcher.Launcher, c HostConfig, intake *admitter.Admitter, stewards map[string]*steward.Steward) {
+// addOperators adds the server for the operators' calls. A host keeps serving
+// callers if it can't listen on the port.
+func addOperators(l *launcher.Launcher, c HostConfig, intake *admitter.Admitter, owners map[string]*steward.Owner) {
 	if c.OperatorsAddr == "" {
 		return
 	}
-	owners := map[string]operator.Owner{}
-	for name, s := range stewards {
-		owners[name] = s
+	served := map[string]operator.Owner{}
+	for name, s := range owners {
+		served[name] = s
 	}
 	mux := http.NewServeMux()
-	mux.Handle(briarspringv1connect.NewWorkflowsHandler(operator.NewWorkflowServer(intake, owners)))
+	mux.Handle(briarspringv1connect.NewWorkflowsHandler(operator.NewWorkflowServer(intake, served)))
 	part, err := newHTTPPart(c.OperatorsAddr, mux, c.Logger)
 	if err != nil {
 		c.Logger.Error("operators' calls are not served", "address", c.OperatorsAddr, "error", err)
--- a/assembler/path_test.go
+++ b/assembler/host_workflows_test.go
@@ -22,7 +22,7 @@
 		assert.True(t, f.submit("0000000000000001", shortStep(3), shortStep(2, 0), shortStep(1, 0, 1)))
 		assertPhase(t, f, "0000000000000001", briarspring.PhaseCompleted, 3200*time.Millisecond)
 		assert.Equal(t, 6, f.pool.Starts())
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu)
 
 	inVirtualTime(t, "a failed task runs again", func(t *testing.T, f *fleet) {
@@ -30,7 +30,7 @@
 		f.submit("0000000000000002", shortStep(1))
 		assertPhase(t, f, "0000000000000002", briarspring.PhaseCompleted, 3*time.Second)
 		assert.Equal(t, 3, f.pool.Starts())
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu)
 
 	inVirtualTime(t, "a task that always fails ends its workflow", func(t *testing.T, f *fleet) {
@@ -38,11 +38,11 @@
 		f.submit("0000000000000003", shortStep(1))
 		assertPhase(t, f, "0000000000000003", briarspring.PhaseFailed, 3*time.Second)
 		assert.Equal(t, 3, f.pool.Starts())
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu)
 
 	inVirtualTime(t, "a cancelled workflow stops", func(t *testing.T, f *fleet) {
-		f.submit("0000000000000004", lastingStep(3))
+		f.submit("0000000000000004", longRunningStep(3))
 		assertRunning(t, f, "0000000000000004", time.Second)
 		known, err := f.host(tartu, 1).intake.Cancel(t.Context(), "0000000000000004")
 		assert.True(t, known)
@@ -60,13 +60,13 @@
 		}
 		assertPhase(t, f, "0000000000000005", briarspring.PhaseCompleted, 3*time.Second)
 		assert.Equal(t, 2, f.pool.Starts())
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu, viljandi)
 }
 
 func TestTakeover(t *testing.T) {
 	inVirtualTime(t, "the owner is killed", func(t *testing.T, f *fleet) {
-		f.submit("0000000000000011", lastingStep(6))
+		f.submit("0000000000000011", longRunningStep(6))
 		assertRunning(t, f, "0000000000000011", time.Second)
 		f.submit("0000000000000012", shortStep(4), shortStep(4, 0))
 		starts := f.pool.Starts()
@@ -76,11 +76,11 @@
 		assertPhase(t, f, "0000000000000012", briarspring.PhaseCompleted, 8*time.Second)
 		assertRunning(t, f, "0000000000000011", time.Second)
 		assert.LessOrEqual(t, f.pool.Starts()-starts, 8, "no lease may lapse")
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu)
 
 	inVirtualTime(t, "an owner that loses the store is replaced", func(t *testing.T, f *fleet) {
-		f.submit("0000000000000013", lastingStep(6))
+		f.submit("0000000000000013", longRunningStep(6))
 		assertRunning(t, f, "0000000000000013", time.Second)
 		starts := f.pool.Starts()
 		for i := range hostsPerCentre {
@@ -91,13 +91,13 @@
 		}
 		assertRunning(t, f, "0000000000000013", time.Second)
 		assert.Equal(t, starts, f.pool.Starts(), "no lease may lapse")
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu)
 
-	// A claim whose append had no answer is appended again. Hosts that restore
-	// their state must see it where it first stood.
+	// A claim whose append got no answer is appended again. Hosts that restore
+	// their state must see the claim at its first position.
 	inVirtualTime(t, "claims whose answers are lost", func(t *testing.T, f *fleet) {
-		f.submit("0000000000000014", lastingStep(4))
+		f.submit("0000000000000014", longRunningStep(4))
 		assertRunning(t, f, "0000000000000014", time.Second)
 		f.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond, LoseShare: 0.6, LateShare: 0.5})
 		go f.kill(f.host(tartu, 0), 3*time.Second)
@@ -110,21 +110,21 @@
 		f.submit("0000000000000015", shortStep(3))
 		assertPhase(t, f, "0000000000000015", briarspring.PhaseCompleted, 6*time.Second)
 		assertRunning(t, f, "0000000000000014", time.Second)
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu, viljandi)
 
-	// The lease of a crashed worker must end although the owner goes on asking it.
-	inVirtualTime(t, "a worker crashes without a word", func(t *testing.T, f *fleet) {
-		f.submit("0000000000000016", lastingStep(6))
+	// The lease of a crashed worker must expire although the owner keeps retrying.
+	inVirtualTime(t, "a worker crashes silently", func(t *testing.T, f *fleet) {
+		f.submit("0000000000000016", longRunningStep(6))
 		assertRunning(t, f, "0000000000000016", time.Second)
 		f.pool.Crash("worker-tartu-0")
 		f.pool.Crash("worker-tartu-1")
 		assertRunning(t, f, "0000000000000016", 7*time.Second)
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu)
 
 	inVirtualTime(t, "a worker crashes, then its owner stops", func(t *testing.T, f *fleet) {
-		f.submit("0000000000000017", lastingStep(6))
+		f.submit("0000000000000017", longRunningStep(6))
 		assertRunning(t, f, "0000000000000017", time.Second)
 		f.pool.Crash("worker-tartu-0")
 		f.pool.Crash("worker-tartu-1")
@@ -135,23 +135,23 @@
 			f.start(tartu, i)
 		}
 		assertRunning(t, f, "0000000000000017", 6*time.Second)
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu)
 }
 
 func TestStoreTrouble(t *testing.T) {
 	inVirtualTime(t, "work goes on while the store is silent", func(t *testing.T, f *fleet) {
-		f.submit("0000000000000021", lastingStep(6))
+		f.submit("0000000000000021", longRunningStep(6))
 		f.submit("0000000000000022", shortStep(3), shortStep(3, 0), shortStep(3, 1))
 		time.Sleep(300 * time.Millisecond)
 		starts := f.pool.Starts()
 		f.store.SetFaults(imitator.KeyedFaults{Silent: true})
 		time.Sleep(9 * time.Second)
-		assert.Equal(t, starts+6, f.pool.Starts(), "steps that follow start without the store")
+		assert.Equal(t, starts+6, f.pool.Starts(), "the following steps start without the store")
 		f.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond})
 		assertPhase(t, f, "0000000000000022", briarspring.PhaseCompleted, 3*time.Second)
 		assertRunning(t, f, "0000000000000021", time.Second)
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu)
 
 	inVirtualTime(t, "a host without the store refuses at once", func(t *testing.T, f *fleet) {
@@ -168,19 +168,19 @@
 
 	inVirtualTime(t, "orders are carried out late", func(t *testing.T, f *fleet) {
 		f.pool.LoseOrders(0.3)
-		f.submit("0000000000000024", lastingStep(8))
+		f.submit("0000000000000024", longRunningStep(8))
 		f.submit("0000000000000025", shortStep(6), shortStep(6, 0))
 		time.Sleep(8 * time.Second)
 		f.pool.LoseOrders(0)
 		assertPhase(t, f, "0000000000000025", briarspring.PhaseCompleted, 20*time.Second)
 		assertRunning(t, f, "0000000000000024", 20*time.Second)
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu)
 }
 
 func TestDataCentreOutOfService(t *testing.T) {
 	inVirtualTime(t, "nothing starts there, and waiting work moves", func(t *testing.T, f *fleet) {
-		f.submit("0000000000000031", lastingStep(4))
+		f.submit("0000000000000031", longRunningStep(4))
 		assertRunning(t, f, "0000000000000031", time.Second)
 		home := f.centreOf("0000000000000031")
 		f.store.Put(briarspring.DirectoryStream, imitator.OutRecord(home, true))
@@ -190,12 +190,12 @@
 		}
 		assertRunning(t, f, "0000000000000031", 9*time.Second)
 		assert.NotEqual(t, home, f.centreOf("0000000000000031"))
-		assertNothingBroken(t, f)
+		assertNoViolations(t, f)
 	}, tartu, viljandi)
 }
 
-// A host whose call was on its way when its link came back waits for nothing
-// until the call's time is over.
+// A host whose call was in flight when its link came back gets no answer until the
+// call times out.
 func TestDirectoryAfterACut(t *testing.T) {
 	const inTouch = 3 * time.Second // After the end of a cut, as the platform states it.
 	for phase := time.Duration(0); phase < 4*time.Second; phase += 250 * time.Millisecond {
@@ -213,12 +213,13 @@
 }
 
 // A host answered 'no such workflow' to a cancellation when it had not yet read
-// of a workflow that another host had accepted; the workflow ran on.
+// the record of a workflow that another host had accepted. The workflow kept
+// running.
 func TestCancellationAtAnotherHost(t *testing.T) {
 	inVirtualTime(t, "right after the acceptance", func(t *testing.T, f *fleet) {
 		for i := range 20 {
 			id := briarspring.WorkflowID(fmt.Sprintf("00000000000001%02x", i))
-			assert.True(t, f.submit(id, lastingStep(1)))
+			assert.True(t, f.submit(id, longRunningStep(1)))
 			for _, h := range f.hosts {
 				phase, known, err := h.intake.Phase(t.Context(), id)
 				assert.NoError(t, err)
@@ -227,7 +228,7 @@
 			}
 			time.Sleep(37 * time.Millisecond)
 		}
-		assert.True(t, f.submit("0000000000000200", lastingStep(1)))
+		assert.True(t, f.submit("0000000000000200", longRunningStep(1)))
 		known, err := f.host(viljandi, 1).intake.Cancel(t.Context(), "0000000000000200")
 		assert.NoError(t, err)
 		assert.True(t, known)
--- a/assembler/scheduler.go
+++ b/assembler/scheduler.go
@@ -19,9 +19,9 @@
 	"briarspring/scheduler"
 )
 
-// NewScheduler returns the parts of a scheduler's process.
+// NewScheduler returns the launcher of a scheduler process.
 func NewScheduler(s loader.Settings, o Outside) (*launcher.Launcher, error) {
-	o, logger, err := o.fill(s, "scheduler")
+	o, logger, err := o.withDefaults(s, "scheduler")
 	if err != nil {
 		return nil, err
 	}
@@ -47,7 +47,7 @@
 	l := launcher.New(logger, s.Process.StopTime)
 	l.Add("settings", s)
 	l.Add("monitor", admin)
-	l.Add("scheduler", &bootPart{
+	l.Add("scheduler", &schedulerPart{
 		Scheduler: engine, logger: logger, dataCentre: s.Process.DataCentre,
 		log: o.Platform, peers: clients(s.Scheduler.Peers, s.Process.DataCentre, o.TLS),
 	})
@@ -98,9 +98,9 @@
 	m.Publish("scheduler", expvar.Func(func() any { return engine.Metrics() }))
 }
 
-// bootPart takes states from peers when the log is down at the start, then runs
-// the scheduler.
-type bootPart struct {
+// schedulerPart runs the scheduler. If the log is down at the start, it first
+// restores the state from peers.
+type schedulerPart struct {
 	*scheduler.Scheduler
 	logger     hclog.Logger
 	dataCentre string
@@ -108,43 +108,43 @@
 	peers      []*relayer.Client
 }
 
-const bootTimeout = 2 * time.Second
+const startupReadTimeout = 2 * time.Second
 
-// Run works until the context ends.
-func (p *bootPart) Run(ctx context.Context) {
+// Run runs the scheduler until the context ends.
+func (p *schedulerPart) Run(ctx context.Context) {
 	for _, c := range p.peers {
 		closeOnDone(ctx, c)
 	}
 	if !p.logAnswers(ctx) {
-		p.takeFromPeers(ctx)
+		p.restoreFromPeers(ctx)
 	}
 	p.Scheduler.Run(ctx)
 }
 
-func (p *bootPart) logAnswers(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, bootTimeout)
+func (p *schedulerPart) logAnswers(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, startupReadTimeout)
 	defer cancel()
 	_, err := p.log.Read(ctx, briarspring.ConfigStream, 1, 1, 0)
 	return err == nil
 }
 
-// takeFromPeers restores the newest states that any peer has.
-func (p *bootPart) takeFromPeers(ctx context.Context) {
+// restoreFromPeers restores the newest states that any peer has.
+func (p *schedulerPart) restoreFromPeers(ctx context.Context) {
 	for _, c := range p.peers {
-		ctx, cancel := context.WithTimeout(ctx, bootTimeout)
+		ctx, cancel := context.WithTimeout(ctx, startupReadTimeout)
 		var states [2][]byte
-		for i, stream := range streams(p.dataCentre) {
+		for i, stream := range followedStreams(p.dataCentre) {
 			applied, data, err := c.Snapshot(ctx, stream)
 			if err != nil {
-				p.logger.Warn("state can't be taken from a peer", "stream", stream, "error", err)
+				p.logger.Warn("failed to fetch the state from a peer", "stream", stream, "error", err)
 				continue
 			}
-			p.logger.Info("state taken from a peer", "stream", stream, "offset", applied)
+			p.logger.Info("fetched the state from a peer", "stream", stream, "offset", applied)
 			states[i] = data
 		}
 		cancel()
 		if err := p.Restore(states[0], states[1]); err != nil {
-			p.logger.Error("state of a peer can't be restored", "error", err)
+			p.logger.Error("failed to restore the state of a peer", "error", err)
 		}
 	}
 }
--- a/assembler/status.go
+++ b/assembler/status.go
@@ -10,7 +10,7 @@
 	"briarspring/scheduler"
 )
 
-// statusData is what the status page shows.
+// statusData is the input of the status page's template.
 type statusData struct {
 	Name        string
 	Time        string
@@ -23,8 +23,8 @@
 }
 
 const (
-	statusDecisions = 50
-	statusJobs      = 200
+	maxStatusDecisions = 50
+	maxStatusJobs      = 200
 )
 
 var statusTemplate = template.Must(template.New("status").Parse(`<!DOCTYPE html>
@@ -49,12 +49,12 @@
 </body></html>
 `))
 
-// statusPage returns a read-only page on a scheduler's state.
+// statusPage returns the handler of a read-only page of a scheduler's state.
 func statusPage(engine *scheduler.Scheduler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 		d := statusData{
 			Name: engine.Name(), Time: time.Now().Format(time.DateTime),
-			Metrics: engine.Metrics(), Decisions: engine.LastDecisions(statusDecisions),
+			Metrics: engine.Metrics(), Decisions: engine.LastDecisions(maxStatusDecisions),
 		}
 		var page bytes.Buffer
 		var err error
@@ -62,7 +62,7 @@
 			d.DataCentres = conf.DataCentres()
 			d.Services = conf.Services()
 			d.Jobs = conf.Jobs()
-			d.Jobs = d.Jobs[max(0, len(d.Jobs)-statusJobs):]
+			d.Jobs = d.Jobs[max(0, len(d.Jobs)-maxStatusJobs):]
 			d.Workers = place.Workers()
 			err = statusTemplate.Execute(&page, d)
 		})
--- a/steward/agent.go
+++ b/steward/agent.go
@@ -10,83 +10,84 @@
 	"briarspring/sleeper"
 )
 
-// agent renews the lease of one worker.
-type agent struct {
+// leaseRenewer renews the lease of one worker.
+type leaseRenewer struct {
 	id      string
 	address string
 	cancel  context.CancelFunc
 }
 
-// startAgent begins to renew the lease of a worker, in place of an agent that
-// used another address.
-func (t *term) startAgent(ctx context.Context, id, address string, duties *sync.WaitGroup) {
-	if old := t.agents[id]; old != nil {
+// startRenewer starts renewing the lease of a worker and cancels the renewer
+// that used its previous address, if any.
+func (own *ownership) startRenewer(ctx context.Context, id, address string, goroutines *sync.WaitGroup) {
+	if old := own.renewers[id]; old != nil {
 		old.cancel()
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	a := &agent{id: id, address: address, cancel: cancel}
-	t.agents[id] = a
-	duties.Go(func() {
+	r := &leaseRenewer{id: id, address: address, cancel: cancel}
+	own.renewers[id] = r
+	goroutines.Go(func() {
 		defer cancel()
 		for ctx.Err() == nil {
-			t.hold(ctx, a)
+			own.renewLease(ctx, r)
 		}
 	})
 }
 
-// hold renews the lease once and takes in what runs on the worker.
-func (t *term) hold(ctx context.Context, a *agent) {
-	sent := t.config.Now()
-	t.mu.Lock()
-	request, known := t.engine.Hold(sent, a.id)
-	stored := t.stored
-	t.mu.Unlock()
+// renewLease renews the lease once and passes the worker's reply to the
+// dispatcher.
+func (own *ownership) renewLease(ctx context.Context, r *leaseRenewer) {
+	sent := own.config.Now()
+	own.mu.Lock()
+	request, known := own.engine.Hold(sent, r.id)
+	stored := own.stored
+	own.mu.Unlock()
 	if !known {
-		_ = sleeper.For(ctx, holdPause)
+		_ = sleeper.For(ctx, renewalRetryPause)
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, request.Wait+holdSlack)
-	reply, err := t.config.Workers.Hold(callCtx, a.address, a.id, request)
+	callCtx, cancel := context.WithTimeout(ctx, request.Wait+renewalSlack)
+	reply, err := own.config.Workers.Hold(callCtx, r.address, r.id, request)
 	cancel()
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
-		t.holdFailed(ctx, a, err)
+		own.renewalFailed(ctx, r, err)
 		return
 	}
-	t.mu.Lock()
-	t.engine.Held(t.config.Now(), sent, a.id, reply)
-	unstored := t.engine.Unstored(a.id)
-	t.mu.Unlock()
-	poke(t.wake)
+	own.mu.Lock()
+	own.engine.Held(own.config.Now(), sent, r.id, reply)
+	unstored := own.engine.Unstored(r.id)
+	own.mu.Unlock()
+	notify(own.wake)
 	if unstored {
 		waitStored(ctx, stored)
 	}
 }
 
-// waitStored waits until a batch is stored, but not for long.
+// waitStored waits until a batch is stored, for at most maxStoreWait.
 func waitStored(ctx context.Context, stored <-chan struct{}) {
-	pause := time.NewTimer(storePause)
-	defer pause.Stop()
+	timer := time.NewTimer(maxStoreWait)
+	defer timer.Stop()
 	select {
 	case <-stored:
-	case <-pause.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-func (t *term) holdFailed(ctx context.Context, a *agent, err error) {
-	t.mu.Lock()
-	first := t.engine.HoldLost(t.config.Now(), a.id, briarspring.VerdictOf(err))
-	t.mu.Unlock()
+func (own *ownership) renewalFailed(ctx context.Context, r *leaseRenewer, err error) {
+	own.mu.Lock()
+	first := own.engine.HoldLost(own.config.Now(), r.id, briarspring.VerdictOf(err))
+	own.mu.Unlock()
 	if first {
-		t.logger.Warn("worker does not answer", "worker", a.id, "error", err)
+		own.logger.Warn("worker does not answer", "worker", r.id, "error", err)
 	}
 	var fresh *briarspring.NewConnectionError
 	if errors.As(err, &fresh) {
 		return
 	}
-	poke(t.wake)
-	_ = sleeper.For(ctx, holdPause)
+	notify(own.wake)
+	_ = sleeper.For(ctx, renewalRetryPause)
 }
--- a/steward/commit.go
+++ b/steward/commit.go
@@ -12,154 +12,157 @@
 	"briarspring/sleeper"
 )
 
-// keepCommitting stores progress as it arises, one batch after the other.
-func (t *term) keepCommitting(ctx context.Context) {
+// commitLoop appends pending progress to the progress stream, one batch at a
+// time.
+func (own *ownership) commitLoop(ctx context.Context) {
 	sequence := uint64(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.commit:
+		case <-own.commit:
 		}
-		t.mu.Lock()
-		batch, due := t.engine.TakeBatch()
-		t.mu.Unlock()
+		own.mu.Lock()
+		batch, due := own.engine.TakeBatch()
+		own.mu.Unlock()
 		if !due {
 			continue
 		}
 		if len(batch.Progress) > 0 {
 			sequence++
-			if !t.store(ctx, batch, sequence) {
-				t.stop()
+			if !own.appendProgress(ctx, batch, sequence) {
+				own.stop()
 				return
 			}
 		}
-		t.mu.Lock()
-		t.engine.Stored(batch)
-		close(t.stored)
-		t.stored = make(chan struct{})
-		t.mu.Unlock()
-		_ = sleeper.For(ctx, commitGap)
+		own.mu.Lock()
+		own.engine.Stored(batch)
+		close(own.stored)
+		own.stored = make(chan struct{})
+		own.mu.Unlock()
+		_ = sleeper.For(ctx, minCommitInterval)
 	}
 }
 
-// store appends a batch, again and again under the same sequence until it is
-// answered. It reports false when the term is over.
-func (t *term) store(ctx context.Context, batch dispatcher.Batch, sequence uint64) bool {
-	stream := briarspring.ProgressStream(t.config.DataCentre)
+// appendProgress appends a batch and retries under the same sequence number
+// until the store answers. It returns false when the ownership has ended.
+func (own *ownership) appendProgress(ctx context.Context, batch dispatcher.Batch, sequence uint64) bool {
+	stream := briarspring.ProgressStream(own.config.DataCentre)
 	for failures := 0; ctx.Err() == nil; failures++ {
 		callCtx, cancel := context.WithTimeout(ctx, commitTimeout)
-		_, err := t.config.Store.Append(callCtx, stream, batch.Progress, t.fence(sequence))
+		_, err := own.config.Store.Append(callCtx, stream, batch.Progress, own.fence(sequence))
 		cancel()
 		if err == nil {
 			if failures > 0 {
-				t.logger.Info("progress is stored again", "failures", failures)
+				own.logger.Info("storing progress works again", "failures", failures)
 			}
 			return true
 		}
 		var fenced *briarspring.FencedError
 		if errors.As(err, &fenced) {
-			t.logger.Warn("a newer owner has taken the progress stream over", "error", err)
+			own.logger.Warn("a newer owner has taken over the progress stream", "error", err)
 			return false
 		}
 		var sequence *briarspring.SequenceError
 		if errors.As(err, &sequence) {
-			// Only this term writes under its epoch, so its own count is wrong; the
-			// next term begins a new one.
-			t.logger.Error("progress does not follow the last append", "error", err)
+			// Only this ownership writes under its epoch, so its own sequence number
+			// is wrong. The next ownership starts a new sequence.
+			own.logger.Error("progress append is out of sequence", "error", err)
 			return false
 		}
 		if failures == 0 {
-			t.logger.Warn("progress can't be stored", "records", len(batch.Progress), "error", err)
+			own.logger.Warn("failed to store progress, retrying", "records", len(batch.Progress), "error", err)
 		}
-		_ = sleeper.For(ctx, setupPause)
+		_ = sleeper.For(ctx, retryPause)
 	}
 	return false
 }
 
-// keepPublishing writes phases of workflows and signs of life to the shared
-// stream.
-func (t *term) keepPublishing(ctx context.Context) {
-	beat := time.NewTicker(beatInterval)
-	defer beat.Stop()
-	models := time.NewTicker(modelInterval)
+// publishLoop writes workflow phases, heartbeats and learned models to the
+// shared stream.
+func (own *ownership) publishLoop(ctx context.Context) {
+	heartbeats := time.NewTicker(heartbeatInterval)
+	defer heartbeats.Stop()
+	models := time.NewTicker(modelExchangeInterval)
 	defer models.Stop()
-	t.publish(ctx, t.beat())
+	own.publish(ctx, own.heartbeat())
 	for {
 		var records []briarspring.KeyedRecord
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.phases:
-		case <-beat.C:
-			records = t.beat()
+		case <-own.phases:
+		case <-heartbeats.C:
+			records = own.heartbeat()
 		case <-models.C:
-			records = t.exchangeModels()
+			records = own.exchangeModels()
 		}
-		t.mu.Lock()
-		records = append(records, t.engine.TakePhases()...)
-		t.mu.Unlock()
+		own.mu.Lock()
+		records = append(records, own.engine.TakePhases()...)
+		own.mu.Unlock()
 		if len(records) > 0 {
-			t.publish(ctx, records)
-			_ = sleeper.For(ctx, publishGap)
+			own.publish(ctx, records)
+			_ = sleeper.For(ctx, minPublishInterval)
 		}
 	}
 }
 
-// exchangeModels takes over what other owners have learned and returns what this
-// one has.
-func (t *term) exchangeModels() []briarspring.KeyedRecord {
+// exchangeModels adopts the interference models of other owners and returns the
+// record of this owner's models, if it has learned any.
+func (own *ownership) exchangeModels() []briarspring.KeyedRecord {
 	var others []briarspring.PressModel
-	t.config.Replica.View(func(r *registrar.Registry) { others = r.Models() })
-	t.mu.Lock()
-	t.pacer.Adopt(others)
-	own := t.pacer.Model()
-	t.mu.Unlock()
-	if len(own) == 0 {
+	own.config.Replica.View(func(r *registrar.Registry) { others = r.Models() })
+	own.mu.Lock()
+	own.pacer.Adopt(others)
+	learned := own.pacer.Model()
+	own.mu.Unlock()
+	if len(learned) == 0 {
 		return nil
 	}
-	value, err := encoder.PressModels(own)
+	value, err := encoder.PressModels(learned)
 	if err != nil {
-		t.logger.Error("model can't be encoded", "error", err)
+		own.logger.Error("model can't be encoded", "error", err)
 		return nil
 	}
-	return []briarspring.KeyedRecord{{Key: registrar.ModelKey(t.config.DataCentre), Value: value}}
+	return []briarspring.KeyedRecord{{Key: registrar.ModelKey(own.config.DataCentre), Value: value}}
 }
 
-// publish writes records until they are stored. They are idempotent.
-func (t *term) publish(ctx context.Context, records []briarspring.KeyedRecord) {
-	t.publishTries(ctx, func() []briarspring.KeyedRecord { return records })
+// publish writes records and retries until they are stored. The records must be
+// idempotent.
+func (own *ownership) publish(ctx context.Context, records []briarspring.KeyedRecord) {
+	own.publishRebuilt(ctx, func() []briarspring.KeyedRecord { return records })
 }
 
-// publishTries writes records until they are stored, and asks for them anew for
-// each try.
-func (t *term) publishTries(ctx context.Context, try func() []briarspring.KeyedRecord) {
+// publishRebuilt writes records and retries until they are stored, rebuilding them
+// for each attempt.
+func (own *ownership) publishRebuilt(ctx context.Context, build func() []briarspring.KeyedRecord) {
 	for ctx.Err() == nil {
-		records := try()
+		records := build()
 		callCtx, cancel := context.WithTimeout(ctx, writeTimeout)
-		err := t.config.Shared.Write(callCtx, records...)
+		err := own.config.Shared.Write(callCtx, records...)
 		cancel()
 		if err == nil {
 			return
 		}
-		t.logger.Debug("phases can't be written", "records", len(records), "error", err)
-		_ = sleeper.For(ctx, setupPause)
+		own.logger.Debug("failed to write to the shared stream, retrying", "records", len(records), "error", err)
+		_ = sleeper.For(ctx, retryPause)
 	}
 }
 
-// beat returns the owner's sign of life and drops what is no longer kept.
-func (t *term) beat() []briarspring.KeyedRecord {
-	t.mu.Lock()
-	load := t.engine.Load()
-	t.mu.Unlock()
+// heartbeat returns the owner's heartbeat record, and deletions of finished
+// workflows that have expired.
+func (own *ownership) heartbeat() []briarspring.KeyedRecord {
+	own.mu.Lock()
+	load := own.engine.Load()
+	own.mu.Unlock()
 	value, err := encoder.OwnerBeat(load)
 	if err != nil {
-		t.logger.Error("beat can't be encoded", "error", err)
+		own.logger.Error("heartbeat can't be encoded", "error", err)
 		return nil
 	}
-	records := []briarspring.KeyedRecord{{Key: registrar.BeatKey(t.config.DataCentre), Value: value}}
-	t.config.Replica.View(func(r *registrar.Registry) {
-		for _, key := range r.Expired(t.config.Now(), t.config.KeepFinal, t.config.DataCentre, expireLimit) {
+	records := []briarspring.KeyedRecord{{Key: registrar.BeatKey(own.config.DataCentre), Value: value}}
+	own.config.Replica.View(func(r *registrar.Registry) {
+		for _, key := range r.Expired(own.config.Now(), own.config.KeepFinal, own.config.DataCentre, maxExpiredPerHeartbeat) {
 			records = append(records, briarspring.KeyedRecord{Key: key})
 		}
 	})
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -1,6 +1,7 @@
-// Package steward carries out a host's part in owning data centres: it claims a
-// data centre's workers when that is due, and while the claim is in force it
-// feeds the dispatcher with what workers and the log say, and sends its orders.
+// Package steward makes a host the owner of data centres' workers. It claims a
+// data centre's workers when they need a new owner. While the claim is in force,
+// it passes log records and workers' replies to the dispatcher and sends the
+// dispatcher's orders to the workers.
 package steward
 
 import (
@@ -21,7 +22,7 @@
 	"briarspring/tracker"
 )
 
-// Store is the platform's keyed streams.
+// Store accesses the platform's keyed streams.
 type Store interface {
 	tracker.Store
 	Append(ctx context.Context, stream string, records []briarspring.KeyedRecord, fence briarspring.Fence) (next uint64, err error)
@@ -32,9 +33,9 @@
 	Write(ctx context.Context, records ...briarspring.KeyedRecord) error
 }
 
-// Workers carries orders to workers. Errors are *briarspring.OrderRefusedError
-// when the worker answered, anything else leaves the outcome open. A hold whose
-// connection is new and that would acknowledge ends must fail instead.
+// Workers sends requests to workers. A *briarspring.OrderRefusedError is the
+// worker's answer; after any other error the outcome is unknown. A Hold that
+// acknowledges ended runs must fail if it would open a new connection.
 type Workers interface {
 	Hold(ctx context.Context, address, id string, h briarspring.HoldRequest) (briarspring.HoldReply, error)
 	Start(ctx context.Context, address, id string, o briarspring.StartOrder) error
@@ -42,17 +43,17 @@
 	Pace(ctx context.Context, address, id string, o briarspring.PaceOrder) error
 }
 
-// List is the platform's list of workers.
+// List provides the platform's list of workers.
 type List interface {
 	Workers(dataCentre string) ([]briarspring.WorkerEntry, bool)
 }
 
-// Catalogue tells which data centres are out of service.
+// Catalogue knows which data centres are out of service.
 type Catalogue interface {
 	Out(dataCentre string) bool
 }
 
-// Freshness tells how current a followed stream is.
+// Freshness describes how current a followed stream is.
 type Freshness interface {
 	// Fresh returns when the last successful read was sent.
 	Fresh() (time.Duration, bool)
@@ -60,97 +61,100 @@
 	Delay() time.Duration
 }
 
-// Pacer decides how fast work that fills may run, and hands on what it learns.
+// Pacer limits the speed of best-effort runs, and exchanges the interference
+// models that it learns.
 type Pacer interface {
 	dispatcher.Pacer
 	Model() []briarspring.PressModel
 	Adopt(models []briarspring.PressModel)
 }
 
-// Config holds the settings of a Steward.
+// Config holds the settings of an Owner.
 type Config struct {
-	Host        string
-	HostCentre  string // Data centre of the host.
-	DataCentre  string // That may be claimed.
-	DataCentres []string
-	Incarnation int64
-	MilliCPU    int // Processors of the host, in thousandths of a core.
-	Lease       time.Duration
-	MaxLease    time.Duration // Longest lease that a worker grants.
-	KeepFinal   time.Duration // For which finished workflows stay known.
+	Host           string
+	HostDataCentre string // Data centre of the host itself.
+	DataCentre     string // Data centre to claim.
+	DataCentres    []string
+	Incarnation    int64
+	MilliCPU       int // Processors of the host, in thousandths of a core.
+	Lease          time.Duration
+	MaxLease       time.Duration // Longest lease that a worker grants.
+	KeepFinal      time.Duration // How long finished workflows are remembered.
 
-	Store     Store
-	Shared    Writer
-	Workers   Workers
-	List      List
-	Catalogue Catalogue
-	Replica   *replicator.Replica
-	Reading   Freshness // Of the replica.
-	Listing   Freshness // Of the list of workers.
-	Follow    func(on bool)
-	NewPacer  func() Pacer
-	Now       func() time.Duration
-	Logger    hclog.Logger
+	Store            Store
+	Shared           Writer
+	Workers          Workers
+	List             List
+	Catalogue        Catalogue
+	Replica          *replicator.Replica
+	ReplicaFreshness Freshness
+	ListFreshness    Freshness
+	OnOwnership      func(owned bool) // Called when an ownership starts and ends.
+	NewPacer         func() Pacer
+	Now              func() time.Duration
+	Logger           hclog.Logger
 }
 
 const (
-	// beatInterval of an owner; a quarter of the silence that lets others claim.
-	beatInterval = 400 * time.Millisecond
-	// decideInterval between two looks at the need of a claim.
-	decideInterval = 50 * time.Millisecond
-	// gapAge of the last read from which the log counts as unreadable for a
-	// while; above the wait of a read with a slow answer.
-	gapAge = 1600 * time.Millisecond
-	// maxUnreachable is how long an owner goes on without the log. Outages of up
-	// to 9 s occur; a successor waits as long before it counts on the owner's end.
+	// heartbeatInterval is a quarter of the silence after which others may claim.
+	heartbeatInterval = 400 * time.Millisecond
+	// claimCheckInterval is the time between two checks whether to claim.
+	claimCheckInterval = 50 * time.Millisecond
+	// readGapAge is the age of the last read above which the log counts as having
+	// been unreadable. It exceeds the wait of a read with a slow answer.
+	readGapAge = 1600 * time.Millisecond
+	// maxUnreachable is how long an owner continues without the log; outages of up
+	// to 9 s occur. A successor waits as long before it assumes that the owner
+	// has stopped.
 	maxUnreachable = 12 * time.Second
-	// muchLarger is the ratio of processors from which duties are left to the larger
-	// hosts; an owner of 116 workers was measured at up to 0.66 of a core.
-	muchLarger = 3
-	// writeTimeout of a claim and of a beat.
+	// largerHostRatio is the ratio of processors from which ownership is left to the
+	// larger hosts. An owner of 116 workers uses up to 0.66 of a core.
+	largerHostRatio = 3
+	// writeTimeout bounds one write of a claim, a retirement, a heartbeat or phases.
 	writeTimeout = 1500 * time.Millisecond
 )
 
-// Steward is a host's part in owning one data centre.
-type Steward struct {
+// Owner claims and owns the workers of one data centre on behalf of a host.
+type Owner struct {
 	config Config
 	logger hclog.Logger
 	done   chan struct{}
 
 	mu          sync.Mutex
 	readSince   time.Duration
-	lastFresh   time.Duration
+	lastRead    time.Duration
 	claimedAt   time.Duration
 	seenToken   uint64
 	lastAttempt time.Duration
-	term        *term
+	ownership   *ownership
 	stopping    bool
-	duties      sync.WaitGroup
+	goroutines  sync.WaitGroup
 }
 
-// New returns a steward; Run makes it work.
-func New(c Config) *Steward {
+// New returns an Owner; Run starts it.
+func New(c Config) *Owner {
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
 	}
-	if c.Follow == nil {
-		c.Follow = func(bool) {}
+	if c.OnOwnership == nil {
+		c.OnOwnership = func(bool) {}
 	}
-	return &Steward{
+	return &Owner{
 		config: c, logger: c.Logger.With("data-centre", c.DataCentre), done: make(chan struct{}),
 	}
 }
 
 // Done returns a channel that is closed when Run has ended.
-func (s *Steward) Done() <-chan struct{} { return s.done }
+func (o *Owner) Done() <-chan struct{} { return o.done }
 
-// Run works until the context ends.
-func (s *Steward) Run(ctx context.Context) {
-	defer close(s.done)
-	defer s.duties.Wait()
-	sub := s.config.Replica.Subscribe()
+// Run claims the data centre when that is due, and owns it while the claim is in
+// force, until the context ends.
+func (o *Owner) Run(ctx context.Context) {
+	defer close(o.done)
+	defer o.goroutines.Wait()
+	sub := o.config.Replica.Subscribe()
 	defer sub.Close()
-	tick := time.NewTicker(decideInterval)
+	tick := time.NewTicker(claimCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -160,205 +164,206 @@
 			sub.Take()
 		case <-tick.C:
 		}
-		if s.isStopping() {
+		if o.isStopping() {
 			continue
 		}
-		if claim, mine := s.look(); mine {
-			s.serve(ctx, claim)
+		if claim, mine := o.checkClaim(); mine {
+			o.runOwnership(ctx, claim)
 			continue
 		}
-		s.maybeClaim(ctx)
+		o.claimIfDue(ctx)
 	}
 }
 
-func (s *Steward) isStopping() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.stopping
+func (o *Owner) isStopping() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.stopping
 }
 
-// look reads the claim in force and reports whether it is this process's and
-// was not used up.
-func (s *Steward) look() (registrar.Claim, bool) {
+// checkClaim returns the claim in force and reports whether it is a new claim of
+// this process. It also tracks since when the log has been read without a gap.
+func (o *Owner) checkClaim() (registrar.Claim, bool) {
 	var claim registrar.Claim
-	s.config.Replica.View(func(r *registrar.Registry) { claim = r.Claim(s.config.DataCentre) })
-	now := s.config.Now()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	fresh, ok := s.config.Reading.Fresh()
-	if !ok || now-fresh > gapAge || fresh-s.lastFresh > gapAge {
-		s.readSince = now
+	o.config.Replica.View(func(r *registrar.Registry) { claim = r.Claim(o.config.DataCentre) })
+	now := o.config.Now()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	fresh, ok := o.config.ReplicaFreshness.Fresh()
+	if !ok || now-fresh > readGapAge || fresh-o.lastRead > readGapAge {
+		o.readSince = now
 	}
-	s.lastFresh = fresh
-	mine := claim.Token != 0 && claim.Owner == s.config.Host && claim.Incarnation == s.config.Incarnation
-	if claim.Token != s.seenToken {
-		s.seenToken = claim.Token
-		s.claimedAt = now
+	o.lastRead = fresh
+	mine := claim.Token != 0 && claim.Owner == o.config.Host && claim.Incarnation == o.config.Incarnation
+	if claim.Token != o.seenToken {
+		o.seenToken = claim.Token
+		o.claimedAt = now
 		return claim, mine
 	}
 	return claim, false
 }
 
-// serve owns the data centre while the claim is in force.
-func (s *Steward) serve(ctx context.Context, claim registrar.Claim) {
-	t := newTerm(s, claim)
-	s.mu.Lock()
-	s.term = t
-	s.mu.Unlock()
-	t.run(ctx)
-	s.mu.Lock()
-	s.term = nil
-	s.mu.Unlock()
-	retirement, err := t.retirement()
+// runOwnership owns the data centre while the claim is in force.
+func (o *Owner) runOwnership(ctx context.Context, claim registrar.Claim) {
+	own := newOwnership(o, claim)
+	o.mu.Lock()
+	o.ownership = own
+	o.mu.Unlock()
+	own.run(ctx)
+	o.mu.Lock()
+	o.ownership = nil
+	o.mu.Unlock()
+	retirement, err := own.retirement()
 	if err != nil {
-		s.logger.Error("retirement can't be encoded", "error", err)
+		o.logger.Error("retirement can't be encoded", "error", err)
 		return
 	}
-	s.duties.Go(func() { s.retire(ctx, retirement) })
+	o.goroutines.Go(func() { o.retire(ctx, retirement) })
 }
 
-// retire records that a term has ended, so that a successor need not wait for
-// leases that this process will not renew.
-func (s *Steward) retire(ctx context.Context, record briarspring.KeyedRecord) {
+// retire records that an ownership has ended, so that a successor need not wait
+// for leases that this process will not renew.
+func (o *Owner) retire(ctx context.Context, record briarspring.KeyedRecord) {
 	ctx, cancel := context.WithTimeout(ctx, maxUnreachable)
 	defer cancel()
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, writeTimeout)
-		err := s.config.Shared.Write(callCtx, record)
+		err := o.config.Shared.Write(callCtx, record)
 		cancel()
 		if err == nil {
 			return
 		}
-		s.logger.Warn("retirement is not recorded yet", "key", record.Key, "error", err)
-		_ = sleeper.For(ctx, setupPause)
+		o.logger.Warn("failed to record the retirement, retrying", "key", record.Key, "error", err)
+		_ = sleeper.For(ctx, retryPause)
 	}
 }
 
-// maybeClaim claims the data centre when that is due.
-func (s *Steward) maybeClaim(ctx context.Context) {
-	sit := s.situation()
-	claim, why := claimer.ShouldClaim(sit)
+// claimIfDue claims the data centre if the claim rules ask for it.
+func (o *Owner) claimIfDue(ctx context.Context) {
+	situation := o.claimSituation()
+	claim, why := claimer.ShouldClaim(situation)
 	if !claim {
 		return
 	}
-	s.mu.Lock()
-	s.lastAttempt = sit.Now
-	s.mu.Unlock()
-	s.logger.Info("claims the data centre", "why", why, "owner", sit.Owner, "token", sit.Token,
-		"silent-ms", (sit.LastRead - max(sit.LastBeat, sit.ClaimedAt)).Milliseconds(), "read-age-ms", (sit.Now - sit.LastRead).Milliseconds())
-	s.write(ctx, s.config.Host, sit.Token)
+	o.mu.Lock()
+	o.lastAttempt = situation.Now
+	o.mu.Unlock()
+	o.logger.Info("claiming the data centre", "why", why, "owner", situation.Owner, "token", situation.Token,
+		"silent-ms", (situation.LastRead - max(situation.LastBeat, situation.ClaimedAt)).Milliseconds(), "read-age-ms", (situation.Now - situation.LastRead).Milliseconds())
+	o.writeClaim(ctx, o.config.Host, situation.Token)
 }
 
-// write records a claim; an empty owner gives the data centre up.
-func (s *Steward) write(ctx context.Context, owner string, previous uint64, more ...briarspring.KeyedRecord) {
+// writeClaim appends a claim to the shared stream, with more records before it.
+// An empty owner releases the data centre.
+func (o *Owner) writeClaim(ctx context.Context, owner string, previous uint64, more ...briarspring.KeyedRecord) {
 	c := briarspring.DataCentreClaim{
-		DataCentre: s.config.DataCentre, Previous: previous, Owner: owner, Incarnation: s.config.Incarnation,
+		DataCentre: o.config.DataCentre, Previous: previous, Owner: owner, Incarnation: o.config.Incarnation,
 	}
 	value, err := encoder.DataCentreClaim(c)
 	if err != nil {
-		s.logger.Error("claim can't be encoded", "error", err)
+		o.logger.Error("claim can't be encoded", "error", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	err = s.config.Shared.Write(ctx, append(more, briarspring.KeyedRecord{Key: registrar.ClaimKey(s.config.DataCentre, registrar.NewTry()), Value: value})...)
+	err = o.config.Shared.Write(ctx, append(more, briarspring.KeyedRecord{Key: registrar.ClaimKey(o.config.DataCentre, registrar.NewTry()), Value: value})...)
 	if err != nil {
-		s.logger.Warn("claim is not confirmed", "owner", owner, "previous", previous, "error", err)
+		o.logger.Warn("claim was not confirmed", "owner", owner, "previous", previous, "error", err)
 	}
 }
 
-// situation gathers what the decision to claim depends on.
-func (s *Steward) situation() claimer.Situation {
-	sit := claimer.Situation{
-		Host: s.config.Host, Local: s.config.HostCentre == s.config.DataCentre,
+// claimSituation gathers the inputs of the decision to claim.
+func (o *Owner) claimSituation() claimer.Situation {
+	situation := claimer.Situation{
+		Host: o.config.Host, Local: o.config.HostDataCentre == o.config.DataCentre,
 	}
-	s.config.Replica.View(func(r *registrar.Registry) {
-		claim := r.Claim(s.config.DataCentre)
+	o.config.Replica.View(func(r *registrar.Registry) {
+		claim := r.Claim(o.config.DataCentre)
 		least, most := r.HostSizes()
-		sit.Owner, sit.Token = claim.Owner, claim.Token
-		sit.LastBeat = r.Beat(s.config.DataCentre).At
+		situation.Owner, situation.Token = claim.Owner, claim.Token
+		situation.LastBeat = r.Beat(o.config.DataCentre).At
 		if p, ok := r.Host(claim.Owner); ok {
-			sit.OwnerLocal = p.DataCentre == s.config.DataCentre
-			sit.OwnerWeak = p.MilliCPU*muchLarger < most
-			sit.Restarted = p.Incarnation > claim.Incarnation
+			situation.OwnerLocal = p.DataCentre == o.config.DataCentre
+			situation.OwnerWeak = p.MilliCPU*largerHostRatio < most
+			situation.Restarted = p.Incarnation > claim.Incarnation
 		}
-		sit.Weak = s.config.MilliCPU*muchLarger < most
-		sit.Mixed = least*muchLarger < most
-		if claim.Owner == s.config.Host && claim.Incarnation == s.config.Incarnation {
-			// The term has ended, so the data centre has no owner.
-			sit.Restarted = true
+		situation.Weak = o.config.MilliCPU*largerHostRatio < most
+		situation.Mixed = least*largerHostRatio < most
+		if claim.Owner == o.config.Host && claim.Incarnation == o.config.Incarnation {
+			// This process's ownership has ended, so the data centre has no owner.
+			situation.Restarted = true
 		}
 	})
-	sit.Now = s.config.Now()
-	sit.StoreDelay = s.config.Reading.Delay()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	sit.LastRead, sit.ReadSince, sit.ClaimedAt, sit.LastAttempt = s.lastFresh, s.readSince, s.claimedAt, s.lastAttempt
-	return sit
+	situation.Now = o.config.Now()
+	situation.StoreDelay = o.config.ReplicaFreshness.Delay()
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	situation.LastRead, situation.ReadSince, situation.ClaimedAt, situation.LastAttempt = o.lastRead, o.readSince, o.claimedAt, o.lastAttempt
+	return situation
 }
 
-// Owns reports whether this process owns the data centre at present.
-func (s *Steward) Owns() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.term != nil
+// Owns reports whether this process owns the data centre.
+func (o *Owner) Owns() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.ownership != nil
 }
 
-// Counters returns what the dispatcher of the present term did; false when this
+// Counters returns the counters of the current dispatcher, or false if this
 // process is not the owner.
-func (s *Steward) Counters() (c dispatcher.Counters, ok bool) {
-	ok = s.inspect(func(d *dispatcher.Dispatcher) { c = d.Counters() })
+func (o *Owner) Counters() (c dispatcher.Counters, ok bool) {
+	ok = o.inspect(func(d *dispatcher.Dispatcher) { c = d.Counters() })
 	return c, ok
 }
 
-// Runs returns the runs of a workflow that may be alive, or those of all when
-// the ID is empty; false when this process is not the owner.
-func (s *Steward) Runs(id briarspring.WorkflowID) (list []dispatcher.RunInfo, ok bool) {
-	ok = s.inspect(func(d *dispatcher.Dispatcher) { list = d.Runs(id) })
+// Runs returns the runs of a workflow that may be alive, or those of all
+// workflows if the ID is empty. It returns false if this process is not the owner.
+func (o *Owner) Runs(id briarspring.WorkflowID) (list []dispatcher.RunInfo, ok bool) {
+	ok = o.inspect(func(d *dispatcher.Dispatcher) { list = d.Runs(id) })
 	return list, ok
 }
 
-// inspect calls f with the dispatcher of the present term; false when there is
-// none, or it still takes the data centre over.
-func (s *Steward) inspect(f func(*dispatcher.Dispatcher)) bool {
-	s.mu.Lock()
-	t := s.term
-	s.mu.Unlock()
-	if t == nil {
+// inspect calls f with the current dispatcher. It returns false if this process
+// is not the owner or has not finished the takeover.
+func (o *Owner) inspect(f func(*dispatcher.Dispatcher)) bool {
+	o.mu.Lock()
+	own := o.ownership
+	o.mu.Unlock()
+	if own == nil {
 		return false
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.engine == nil {
+	own.mu.Lock()
+	defer own.mu.Unlock()
+	if own.engine == nil {
 		return false
 	}
-	f(t.engine)
+	f(own.engine)
 	return true
 }
 
-// Stop gives the data centre up, so that another host claims it at once. It
-// returns when that is recorded, or the channel closes.
-func (s *Steward) Stop(giveUp <-chan struct{}) {
-	s.mu.Lock()
-	s.stopping = true
-	t := s.term
-	s.mu.Unlock()
-	if t == nil {
+// Stop releases the data centre, so that another host claims it at once. It
+// returns when the release is recorded or giveUp is closed.
+func (o *Owner) Stop(giveUp <-chan struct{}) {
+	o.mu.Lock()
+	o.stopping = true
+	own := o.ownership
+	o.mu.Unlock()
+	if own == nil {
 		return
 	}
-	t.stop()
+	own.stop()
 	select {
-	case <-t.ended:
+	case <-own.ended:
 	case <-giveUp:
 		return
 	}
 	ctx, cancel := launcher.GiveUpContext(giveUp)
 	defer cancel()
-	retirement, err := t.retirement()
+	retirement, err := own.retirement()
 	if err != nil {
-		s.logger.Error("retirement can't be encoded", "error", err)
+		o.logger.Error("retirement can't be encoded", "error", err)
 		return
 	}
-	s.write(ctx, "", t.claim.Token, retirement)
-	s.logger.Info("gave the data centre up", "token", t.claim.Token)
+	o.writeClaim(ctx, "", own.claim.Token, retirement)
+	o.logger.Info("released the data centre", "token", own.claim.Token)
 }
--- a/steward/steward_test.go
+++ b/steward/steward_test.go
@@ -9,11 +9,11 @@
 	"briarspring/registrar"
 )
 
-// Metrics that were asked for while an owner took a data centre over ended in a
-// nil pointer.
+// Reading the metrics during a takeover dereferenced a dispatcher that did not
+// exist yet.
 func TestInspectingATakeover(t *testing.T) {
 	s := New(Config{DataCentre: "tartu", Now: func() time.Duration { return time.Second }})
-	s.term = newTerm(s, registrar.Claim{Token: 1})
+	s.ownership = newOwnership(s, registrar.Claim{Token: 1})
 	assert.True(t, s.Owns())
 	_, ok := s.Counters()
 	assert.False(t, ok)
--- a/steward/term.go
+++ b/steward/term.go
@@ -19,45 +19,46 @@
 )
 
 const (
-	// holdSlack is added to the wait for the time-out of a hold.
-	holdSlack = 700 * time.Millisecond
-	// holdPause after a hold that got no answer.
-	holdPause = 100 * time.Millisecond
-	// orderTimeout of an order; later its outcome is in doubt.
+	// renewalSlack is added to the wait of a lease renewal to get its timeout.
+	renewalSlack = 700 * time.Millisecond
+	// renewalRetryPause follows a lease renewal that got no answer.
+	renewalRetryPause = 100 * time.Millisecond
+	// orderTimeout bounds one order; after that its outcome is unknown.
 	orderTimeout = 800 * time.Millisecond
-	// maxOrders bounds the orders that are on their way at a time.
+	// maxOrders bounds the orders in flight.
 	maxOrders = 96
-	// storePause is the longest that a hold waits for the last ends to be stored,
-	// since unacknowledged ends would make it return at once.
-	storePause = 200 * time.Millisecond
-	// planGap is the least time between two plans, so that events that come
-	// together share one.
-	planGap = 3 * time.Millisecond
-	// commitGap is the least time between two appends of progress.
-	commitGap = 20 * time.Millisecond
-	// publishGap is the least time between two appends of phases; callers ask for
-	// them no more often than a few times a second.
-	publishGap = 30 * time.Millisecond
-	// commitTimeout of one append of progress; it is repeated until it is
+	// maxStoreWait bounds the wait for ended runs to be stored before the next
+	// renewal, which returns at once while ended runs are unacknowledged.
+	maxStoreWait = 200 * time.Millisecond
+	// minPlanInterval is the minimum time between two planning passes, so that
+	// simultaneous events share one.
+	minPlanInterval = 3 * time.Millisecond
+	// minCommitInterval is the minimum time between two appends of progress.
+	minCommitInterval = 20 * time.Millisecond
+	// minPublishInterval is the minimum time between two writes of phases, which
+	// callers poll at most a few times a second.
+	minPublishInterval = 30 * time.Millisecond
+	// commitTimeout bounds one append of progress, which is retried until it is
 	// answered.
 	commitTimeout = 1500 * time.Millisecond
-	// listInterval between two looks at the list of workers.
+	// listInterval is the time between two checks of the list of workers.
 	listInterval = 150 * time.Millisecond
-	// setupPause after a failed step of taking a data centre over.
-	setupPause = 50 * time.Millisecond
-	// entriesReturn is the time within which workers' entries that lapsed during
-	// an outage of the log are back: about 2 s as the platform states it, and a
-	// read of the list through a store that is still slow.
-	entriesReturn = 2750 * time.Millisecond
-	// modelInterval between two exchanges of what owners have learned.
-	modelInterval = 2 * time.Second
-	// expireLimit bounds the finished workflows that one beat drops.
-	expireLimit = 20
+	// retryPause follows a failed write or a failed attempt at a takeover.
+	retryPause = 50 * time.Millisecond
+	// entryReturnTime is the time within which workers' entries that expired during
+	// an outage of the log reappear: about 2 s according to the platform, plus a
+	// read of the list from a store that is still slow.
+	entryReturnTime = 2750 * time.Millisecond
+	// modelExchangeInterval is the time between two exchanges of interference models.
+	modelExchangeInterval = 2 * time.Second
+	// maxExpiredPerHeartbeat bounds the finished workflows that one heartbeat
+	// deletes.
+	maxExpiredPerHeartbeat = 20
 )
 
-// term is the time during which one claim of this process is in force.
-type term struct {
-	steward *Steward
+// ownership runs a data centre while one claim of this process is in force.
+type ownership struct {
+	owner   *Owner
 	config  Config
 	claim   registrar.Claim
 	started time.Duration
@@ -66,108 +67,107 @@
 	halt    chan struct{}
 	once    sync.Once
 
-	wake   chan struct{} // For the planner.
-	commit chan struct{} // For the committer.
-	phases chan struct{} // For the writer of phases.
-	slots  chan struct{} // For orders on their way.
+	wake       chan struct{} // Wakes planLoop.
+	commit     chan struct{} // Wakes commitLoop.
+	phases     chan struct{} // Wakes publishLoop.
+	orderSlots chan struct{} // Limits the orders in flight.
 
-	mu     sync.Mutex
-	engine *dispatcher.Dispatcher
-	pacer  Pacer
-	agents map[string]*agent
-	stored chan struct{} // Closed and replaced when a batch is stored.
+	mu       sync.Mutex
+	engine   *dispatcher.Dispatcher
+	pacer    Pacer
+	renewers map[string]*leaseRenewer
+	stored   chan struct{} // Closed and replaced when a batch is stored.
 }
 
-func newTerm(s *Steward, claim registrar.Claim) *term {
-	return &term{
-		steward: s, config: s.config, claim: claim, logger: s.logger.With("token", claim.Token),
-		started: s.config.Now(), ended: make(chan struct{}), halt: make(chan struct{}),
+func newOwnership(o *Owner, claim registrar.Claim) *ownership {
+	return &ownership{
+		owner: o, config: o.config, claim: claim, logger: o.logger.With("token", claim.Token),
+		started: o.config.Now(), ended: make(chan struct{}), halt: make(chan struct{}),
 		wake: make(chan struct{}, 1), commit: make(chan struct{}, 1), phases: make(chan struct{}, 1),
-		slots: make(chan struct{}, maxOrders), agents: map[string]*agent{}, stored: make(chan struct{}),
+		orderSlots: make(chan struct{}, maxOrders), renewers: map[string]*leaseRenewer{}, stored: make(chan struct{}),
 	}
 }
 
-// stop ends the term soon.
-func (t *term) stop() { t.once.Do(func() { close(t.halt) }) }
+// stop makes run return soon.
+func (own *ownership) stop() { own.once.Do(func() { close(own.halt) }) }
 
-// run owns the data centre until the claim is replaced, the log was out of
-// reach for too long, or the context ends.
-func (t *term) run(ctx context.Context) {
-	defer close(t.ended)
+// run owns the data centre until the claim is replaced, the log has been
+// unreachable for too long, or the context ends.
+func (own *ownership) run(ctx context.Context) {
+	defer close(own.ended)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-t.halt:
+		case <-own.halt:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	t.config.Follow(true)
-	defer t.config.Follow(false)
-	t.logger.Info("owns the data centre", "previous-token", t.claim.Previous)
-	progress, ok := t.takeOver(ctx)
+	own.config.OnOwnership(true)
+	defer own.config.OnOwnership(false)
+	own.logger.Info("ownership started", "previous-token", own.claim.Previous)
+	progress, ok := own.takeOver(ctx)
 	if !ok {
 		return
 	}
-	t.setUp(progress)
-	t.logger.Info("progress taken over", "workflows", len(progress), "took-ms", (t.config.Now() - t.started).Milliseconds())
-	var duties sync.WaitGroup
-	duties.Go(func() { t.keepCommitting(ctx) })
-	duties.Go(func() { t.keepPublishing(ctx) })
-	t.keepPlanning(ctx, &duties)
+	own.startDispatcher(progress)
+	own.logger.Info("took over progress", "workflows", len(progress), "took-ms", (own.config.Now() - own.started).Milliseconds())
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { own.commitLoop(ctx) })
+	goroutines.Go(func() { own.publishLoop(ctx) })
+	own.planLoop(ctx, &goroutines)
 	cancel()
-	duties.Wait()
-	t.logger.Info("owns the data centre no more", "served-ms", (t.config.Now() - t.started).Milliseconds())
+	goroutines.Wait()
+	own.logger.Info("ownership ended", "served-ms", (own.config.Now() - own.started).Milliseconds())
 }
 
-// retirement returns the record that this term gives no more orders.
-func (t *term) retirement() (briarspring.KeyedRecord, error) {
-	m := briarspring.Retirement{Token: t.claim.Token}
-	t.mu.Lock()
-	if t.engine != nil {
-		m.Silent = t.engine.Silent(t.config.Now())
-	}
-	t.mu.Unlock()
+// retirement returns the record stating that this ownership sends no more orders.
+func (own *ownership) retirement() (briarspring.KeyedRecord, error) {
+	m := briarspring.Retirement{Token: own.claim.Token}
+	own.mu.Lock()
+	if own.engine != nil {
+		m.Silent = own.engine.Silent(own.config.Now())
+	}
+	own.mu.Unlock()
 	value, err := encoder.Retirement(m)
-	return briarspring.KeyedRecord{Key: registrar.RetireKey(t.config.DataCentre, t.claim.Token), Value: value}, err
+	return briarspring.KeyedRecord{Key: registrar.RetireKey(own.config.DataCentre, own.claim.Token), Value: value}, err
 }
 
-// inForce reports whether the claim is the last one, as far as the log was
-// read.
-func (t *term) inForce() bool {
+// inForce reports whether the claim is the last one that was read from the log.
+func (own *ownership) inForce() bool {
 	var now registrar.Claim
-	t.config.Replica.View(func(r *registrar.Registry) { now = r.Claim(t.config.DataCentre) })
-	return now.Token == t.claim.Token
+	own.config.Replica.View(func(r *registrar.Registry) { now = r.Claim(own.config.DataCentre) })
+	return now.Token == own.claim.Token
 }
 
-// takeOver keeps earlier owners from writing and reads the progress stream.
-func (t *term) takeOver(ctx context.Context) (map[briarspring.WorkflowID][]briarspring.TaskProgress, bool) {
-	stream := briarspring.ProgressStream(t.config.DataCentre)
-	for ctx.Err() == nil && t.inForce() {
-		progress, err := t.tryTakeOver(ctx, stream)
+// takeOver fences earlier owners off the progress stream and reads it.
+func (own *ownership) takeOver(ctx context.Context) (map[briarspring.WorkflowID][]briarspring.TaskProgress, bool) {
+	stream := briarspring.ProgressStream(own.config.DataCentre)
+	for ctx.Err() == nil && own.inForce() {
+		progress, err := own.tryTakeOver(ctx, stream)
 		if err == nil {
 			return progress, true
 		}
 		var fenced *briarspring.FencedError
 		if errors.As(err, &fenced) {
-			t.logger.Warn("a newer owner has taken the progress stream over", "error", err)
+			own.logger.Warn("a newer owner has taken over the progress stream", "error", err)
 			return nil, false
 		}
-		t.logger.Warn("progress can't be taken over yet", "error", err)
-		_ = sleeper.For(ctx, setupPause)
+		own.logger.Warn("failed to take over progress, retrying", "error", err)
+		_ = sleeper.For(ctx, retryPause)
 	}
 	return nil, false
 }
 
-func (t *term) tryTakeOver(ctx context.Context, stream string) (map[briarspring.WorkflowID][]briarspring.TaskProgress, error) {
+func (own *ownership) tryTakeOver(ctx context.Context, stream string) (map[briarspring.WorkflowID][]briarspring.TaskProgress, error) {
 	callCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	fencedAt, err := t.config.Store.Append(callCtx, stream, nil, t.fence(0))
+	fencedAt, err := own.config.Store.Append(callCtx, stream, nil, own.fence(0))
 	if err != nil {
 		return nil, err
 	}
-	records, end, err := tracker.Newest(ctx, t.config.Store, stream)
+	records, end, err := tracker.Newest(ctx, own.config.Store, stream)
 	if err != nil {
 		return nil, err
 	}
@@ -181,7 +181,7 @@
 		}
 		tasks, err := encoder.DecodeRunProgress(r.Value)
 		if err != nil {
-			t.logger.Error("progress record has no effect", "key", r.Key, "offset", r.Offset, "error", err)
+			own.logger.Error("ignoring a progress record that can't be decoded", "key", r.Key, "offset", r.Offset, "error", err)
 			continue
 		}
 		progress[briarspring.WorkflowID(r.Key)] = tasks
@@ -189,107 +189,108 @@
 	return progress, nil
 }
 
-func (t *term) fence(sequence uint64) briarspring.Fence {
-	return briarspring.Fence{Epoch: t.claim.Token, Sequence: sequence}
+func (own *ownership) fence(sequence uint64) briarspring.Fence {
+	return briarspring.Fence{Epoch: own.claim.Token, Sequence: sequence}
 }
 
-// setUp makes the dispatcher with every workflow that has tasks here.
-func (t *term) setUp(progress map[briarspring.WorkflowID][]briarspring.TaskProgress) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.config.Now()
-	t.pacer = t.config.NewPacer()
-	t.config.Replica.View(func(r *registrar.Registry) { t.pacer.Adopt(r.Models()) })
-	t.engine = dispatcher.New(now, dispatcher.Config{
-		DataCentre: t.config.DataCentre, Token: t.claim.Token, Lease: t.config.Lease, MaxLease: t.config.MaxLease,
-		Predecessor: t.claim.Previous != 0, Pacer: t.pacer, Logger: t.logger,
+// startDispatcher creates the dispatcher with every workflow that has tasks here.
+func (own *ownership) startDispatcher(progress map[briarspring.WorkflowID][]briarspring.TaskProgress) {
+	own.mu.Lock()
+	defer own.mu.Unlock()
+	now := own.config.Now()
+	own.pacer = own.config.NewPacer()
+	own.config.Replica.View(func(r *registrar.Registry) { own.pacer.Adopt(r.Models()) })
+	own.engine = dispatcher.New(now, dispatcher.Config{
+		DataCentre: own.config.DataCentre, Token: own.claim.Token, Lease: own.config.Lease, MaxLease: own.config.MaxLease,
+		Predecessor: own.claim.Previous != 0, Pacer: own.pacer, Logger: own.logger,
 	})
-	t.engine.SetOut(now, t.config.Catalogue.Out(t.config.DataCentre))
-	if t.claim.Previous != 0 {
-		t.engine.HoldStarts(t.steward.readableSince() + entriesReturn)
+	own.engine.SetOut(now, own.config.Catalogue.Out(own.config.DataCentre))
+	if own.claim.Previous != 0 {
+		own.engine.HoldStarts(own.owner.readableSince() + entryReturnTime)
 	}
-	t.config.Replica.View(func(r *registrar.Registry) {
-		r.Workflows(func(e *registrar.Entry) { t.takeWorkflow(now, e, progress[e.Workflow().ID]) })
+	own.config.Replica.View(func(r *registrar.Registry) {
+		r.Workflows(func(e *registrar.Entry) { own.applyWorkflow(now, e, progress[e.Workflow().ID]) })
 	})
 }
 
-// readableSince returns since when the log was read without a gap.
-func (s *Steward) readableSince() time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.readSince
+// readableSince returns since when the log has been read without a gap.
+func (o *Owner) readableSince() time.Duration {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.readSince
 }
 
-// takeWorkflow tells the dispatcher what the shared state says of a workflow.
-func (t *term) takeWorkflow(now time.Duration, e *registrar.Entry, progress []briarspring.TaskProgress) {
+// applyWorkflow passes the shared state of a workflow to the dispatcher.
+func (own *ownership) applyWorkflow(now time.Duration, e *registrar.Entry, progress []briarspring.TaskProgress) {
 	w := e.Workflow()
-	if !t.concerns(e) {
+	if !own.hasTasksHere(e) {
 		return
 	}
-	place := t.placeOf(e)
+	place := own.placeOf(e)
 	switch {
-	case t.engine.Knows(w.ID):
+	case own.engine.Knows(w.ID):
 		if place != nil {
-			t.engine.Moved(now, w.ID, place)
+			own.engine.Moved(now, w.ID, place)
 		}
 	case e.Phase().Final() && len(progress) == 0:
 		return
 	default:
-		t.engine.Submit(now, t.ageOf(w), w, e.Offset(), t.withMoved(e, progress), place)
+		own.engine.Submit(now, own.ageOf(w), w, e.Offset(), own.mergeTransferred(e, progress), place)
 	}
 	if e.Cancelled() {
-		t.engine.Cancel(now, w.ID)
+		own.engine.Cancel(now, w.ID)
 	}
 	if e.Phase().Final() && !e.Cancelled() {
-		t.engine.Finished(now, w.ID, e.Phase())
+		own.engine.Finished(now, w.ID, e.Phase())
 	}
 }
 
-// ageOf returns the time since a workflow was accepted, kept within the time for
-// which workflows of its recurrence are known, since clocks may jump.
-func (t *term) ageOf(w *briarspring.Workflow) time.Duration {
-	most := t.config.KeepFinal
+// ageOf returns the time since a workflow was accepted, clamped to the time for
+// which workflows of its recurrence are remembered, since clocks may jump.
+func (own *ownership) ageOf(w *briarspring.Workflow) time.Duration {
+	maxAge := own.config.KeepFinal
 	if n := w.Recurrence.Times; n > 0 {
-		most += max(0, w.Recurrence.Due(n-1).Sub(w.Submitted))
+		maxAge += max(0, w.Recurrence.Due(n-1).Sub(w.Submitted))
 	}
-	return max(0, min(time.Since(w.Submitted), most))
+	return max(0, min(time.Since(w.Submitted), maxAge))
 }
 
-// placeOf returns where the tasks of a workflow belong; nil when none was
-// transferred.
-func (t *term) placeOf(e *registrar.Entry) func(position int) dispatcher.Place {
+// placeOf returns the place of each task of a workflow by its position, or nil if
+// none was transferred.
+func (own *ownership) placeOf(e *registrar.Entry) func(position int) dispatcher.Place {
 	moved := e.Moved()
 	if len(moved) == 0 {
 		return nil
 	}
 	return func(position int) dispatcher.Place {
 		m := moved[position]
-		return dispatcher.Place{Mine: e.DataCentre(position) == t.config.DataCentre, Moves: m.Count, Brought: m.Progress}
+		return dispatcher.Place{Mine: e.DataCentre(position) == own.config.DataCentre, Moves: m.Count, Brought: m.Progress}
 	}
 }
 
-// concerns reports whether the data centre has, or had, tasks of a workflow.
-func (t *term) concerns(e *registrar.Entry) bool {
-	if e.Workflow().DataCentre == t.config.DataCentre {
+// hasTasksHere reports whether the data centre has, or had, tasks of a workflow.
+func (own *ownership) hasTasksHere(e *registrar.Entry) bool {
+	if e.Workflow().DataCentre == own.config.DataCentre {
 		return true
 	}
 	for _, m := range e.Moved() {
-		if m.To == t.config.DataCentre {
+		if m.To == own.config.DataCentre {
 			return true
 		}
 	}
 	return false
 }
 
-// withMoved adds what transferred tasks brought along. A task may have run here
-// before it left, or after it came back, so the record with the higher run number counts.
-func (t *term) withMoved(e *registrar.Entry, progress []briarspring.TaskProgress) []briarspring.TaskProgress {
+// mergeTransferred adds the progress that transferred tasks brought along. A task
+// may have run here before it left, or after it came back, so the record with the
+// higher run number wins.
+func (own *ownership) mergeTransferred(e *registrar.Entry, progress []briarspring.TaskProgress) []briarspring.TaskProgress {
 	known := map[int]int{}
 	for i, p := range progress {
 		known[p.Position] = i
 	}
 	for position, m := range e.Moved() {
-		if m.To != t.config.DataCentre {
+		if m.To != own.config.DataCentre {
 			continue
 		}
 		i, ok := known[position]
@@ -303,9 +304,9 @@
 	return progress
 }
 
-// keepPlanning plans whenever something happened, until the term is over.
-func (t *term) keepPlanning(ctx context.Context, duties *sync.WaitGroup) {
-	sub := t.config.Replica.Subscribe()
+// planLoop plans after every change and at intervals, until the ownership ends.
+func (own *ownership) planLoop(ctx context.Context, goroutines *sync.WaitGroup) {
+	sub := own.config.Replica.Subscribe()
 	defer sub.Close()
 	timer := time.NewTicker(dispatcher.PlanInterval())
 	defer timer.Stop()
@@ -315,66 +316,66 @@
 		case <-ctx.Done():
 			return
 		case <-sub.Changed():
-		case <-t.wake:
+		case <-own.wake:
 		case <-timer.C:
-			t.mu.Lock()
-			t.engine.Tick()
-			t.mu.Unlock()
+			own.mu.Lock()
+			own.engine.Tick()
+			own.mu.Unlock()
 		}
-		now := t.config.Now()
-		if t.over(now) {
+		now := own.config.Now()
+		if own.shouldEnd(now) {
 			return
 		}
-		t.takeChanges(now, sub)
+		own.applyChanges(now, sub)
 		if now-listedAt >= listInterval {
 			listedAt = now
-			t.takeList(ctx, now, duties)
+			own.applyWorkerList(ctx, now, goroutines)
 		}
-		t.plan(ctx, now, duties)
-		_ = sleeper.For(ctx, planGap)
+		own.planAndSend(ctx, now, goroutines)
+		_ = sleeper.For(ctx, minPlanInterval)
 	}
 }
 
-// over reports whether the term has to end.
-func (t *term) over(now time.Duration) bool {
-	if !t.inForce() {
-		t.logger.Info("claim was replaced")
+// shouldEnd reports whether the ownership has to end.
+func (own *ownership) shouldEnd(now time.Duration) bool {
+	if !own.inForce() {
+		own.logger.Info("claim was replaced")
 		return true
 	}
-	t.mu.Lock()
-	superseded := t.engine.Superseded()
-	t.mu.Unlock()
+	own.mu.Lock()
+	superseded := own.engine.Superseded()
+	own.mu.Unlock()
 	if superseded {
-		t.logger.Warn("workers accepted a newer token")
+		own.logger.Warn("workers accepted a newer token")
 		return true
 	}
-	fresh, ok := t.config.Reading.Fresh()
+	fresh, ok := own.config.ReplicaFreshness.Fresh()
 	if !ok || now-fresh > maxUnreachable {
-		t.logger.Warn("the log was out of reach for too long", "age-ms", (now - fresh).Milliseconds())
+		own.logger.Warn("the log was unreachable for too long", "age-ms", (now - fresh).Milliseconds())
 		return true
 	}
 	return false
 }
 
-// takeChanges tells the dispatcher what was read of the shared stream.
-func (t *term) takeChanges(now time.Duration, sub subscription) {
+// applyChanges passes changes read from the shared stream to the dispatcher.
+func (own *ownership) applyChanges(now time.Duration, sub subscription) {
 	changes, all := sub.Take()
-	out := t.config.Catalogue.Out(t.config.DataCentre)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.engine.SetOut(now, out)
-	t.config.Replica.View(func(r *registrar.Registry) {
-		if at, ok := r.EarlierGone(now, maxUnreachable, t.config.DataCentre); ok {
-			t.engine.EarlierGone(at)
+	out := own.config.Catalogue.Out(own.config.DataCentre)
+	own.mu.Lock()
+	defer own.mu.Unlock()
+	own.engine.SetOut(now, out)
+	own.config.Replica.View(func(r *registrar.Registry) {
+		if at, ok := r.EarlierGone(now, maxUnreachable, own.config.DataCentre); ok {
+			own.engine.EarlierGone(at)
 		}
-		t.engine.EarlierSilent(maps.Clone(r.Silent(t.config.DataCentre)))
+		own.engine.EarlierSilent(maps.Clone(r.Silent(own.config.DataCentre)))
 		if all {
-			r.Workflows(func(e *registrar.Entry) { t.takeWorkflow(now, e, nil) })
+			r.Workflows(func(e *registrar.Entry) { own.applyWorkflow(now, e, nil) })
 			return
 		}
 		for _, c := range changes {
 			if e := r.Workflow(c.Workflow); e != nil {
-				t.takeWorkflow(now, e, nil)
+				own.applyWorkflow(now, e, nil)
 			}
 		}
 	})
@@ -384,105 +385,106 @@
 	Take() ([]registrar.Change, bool)
 }
 
-// takeList tells the dispatcher the list of workers and keeps an agent for each
-// of them.
-func (t *term) takeList(ctx context.Context, now time.Duration, duties *sync.WaitGroup) {
-	entries, known := t.config.List.Workers(t.config.DataCentre)
-	fresh, _ := t.config.Listing.Fresh()
-	if !known || fresh <= t.started {
+// applyWorkerList passes the list of workers to the dispatcher and runs a lease
+// renewer for each of them.
+func (own *ownership) applyWorkerList(ctx context.Context, now time.Duration, goroutines *sync.WaitGroup) {
+	entries, known := own.config.List.Workers(own.config.DataCentre)
+	fresh, _ := own.config.ListFreshness.Fresh()
+	if !known || fresh <= own.started {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.engine.SetWorkers(now, entries)
-	wanted := t.engine.Workers()
+	own.mu.Lock()
+	defer own.mu.Unlock()
+	own.engine.SetWorkers(now, entries)
+	wanted := own.engine.Workers()
 	for id, address := range wanted {
-		if a := t.agents[id]; a != nil && a.address == address {
+		if r := own.renewers[id]; r != nil && r.address == address {
 			continue
 		}
-		t.startAgent(ctx, id, address, duties)
+		own.startRenewer(ctx, id, address, goroutines)
 	}
-	for id, a := range t.agents {
+	for id, r := range own.renewers {
 		if _, ok := wanted[id]; !ok {
-			a.cancel()
-			delete(t.agents, id)
+			r.cancel()
+			delete(own.renewers, id)
 		}
 	}
 }
 
-// plan has the dispatcher plan and sends its orders.
-func (t *term) plan(ctx context.Context, now time.Duration, duties *sync.WaitGroup) {
-	t.mu.Lock()
-	orders := t.engine.Plan(now)
-	t.mu.Unlock()
+// planAndSend runs a planning pass and sends its orders.
+func (own *ownership) planAndSend(ctx context.Context, now time.Duration, goroutines *sync.WaitGroup) {
+	own.mu.Lock()
+	orders := own.engine.Plan(now)
+	own.mu.Unlock()
 	for _, o := range orders {
 		select {
-		case t.slots <- struct{}{}:
+		case own.orderSlots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
-		duties.Go(func() {
-			t.send(ctx, o)
-			<-t.slots
+		goroutines.Go(func() {
+			own.send(ctx, o)
+			<-own.orderSlots
 		})
 	}
-	poke(t.commit)
-	poke(t.phases)
-	t.transfer(ctx, now, duties)
+	notify(own.commit)
+	notify(own.phases)
+	own.transferTasks(ctx, now, goroutines)
 }
 
-// transfer gives tasks to other data centres that can't start here.
-func (t *term) transfer(ctx context.Context, now time.Duration, duties *sync.WaitGroup) {
+// transferTasks transfers tasks that can't start here to other data centres.
+func (own *ownership) transferTasks(ctx context.Context, now time.Duration, goroutines *sync.WaitGroup) {
 	var options []balancer.Option
-	t.config.Replica.View(func(r *registrar.Registry) {
-		options = balancer.Options(now, t.config.DataCentres, r, t.config.Catalogue)
+	own.config.Replica.View(func(r *registrar.Registry) {
+		options = balancer.Options(now, own.config.DataCentres, r, own.config.Catalogue)
 	})
-	t.mu.Lock()
-	transfers := t.engine.TakeTransfers(now, func(s *briarspring.Step) string {
-		return balancer.Elsewhere(t.config.DataCentre, s, options)
+	own.mu.Lock()
+	transfers := own.engine.TakeTransfers(now, func(s *briarspring.Step) string {
+		return balancer.Elsewhere(own.config.DataCentre, s, options)
 	})
-	t.mu.Unlock()
+	own.mu.Unlock()
 	for _, tr := range transfers {
 		value, err := encoder.TaskTransfer(tr.Content)
 		if err != nil {
-			t.logger.Error("transfer can't be encoded", "workflow", tr.Workflow, "error", err)
+			own.logger.Error("transfer can't be encoded", "workflow", tr.Workflow, "error", err)
 			continue
 		}
-		duties.Go(func() {
-			t.publishTries(ctx, func() []briarspring.KeyedRecord {
-				key := registrar.TransferKey(tr.Workflow, t.claim.Token, tr.Number, registrar.NewTry())
+		goroutines.Go(func() {
+			own.publishRebuilt(ctx, func() []briarspring.KeyedRecord {
+				key := registrar.TransferKey(tr.Workflow, own.claim.Token, tr.Number, registrar.NewTry())
 				return []briarspring.KeyedRecord{{Key: key, Value: value}}
 			})
 		})
 	}
 }
 
-// send carries an order out and tells the dispatcher the outcome.
-func (t *term) send(ctx context.Context, o dispatcher.Order) {
+// send sends an order to its worker and passes the outcome to the dispatcher.
+func (own *ownership) send(ctx context.Context, o dispatcher.Order) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	var err error
 	switch o.Kind {
 	case dispatcher.OrderStart:
-		err = t.config.Workers.Start(ctx, o.Address, o.Worker, o.Start)
+		err = own.config.Workers.Start(ctx, o.Address, o.Worker, o.Start)
 	case dispatcher.OrderStop:
-		err = t.config.Workers.Stop(ctx, o.Address, o.Worker, o.Stop)
+		err = own.config.Workers.Stop(ctx, o.Address, o.Worker, o.Stop)
 	case dispatcher.OrderPace:
-		err = t.config.Workers.Pace(ctx, o.Address, o.Worker, o.Pace)
+		err = own.config.Workers.Pace(ctx, o.Address, o.Worker, o.Pace)
 	}
 	verdict := briarspring.VerdictOf(err)
 	if err != nil {
-		t.logger.Debug("order failed", "worker", o.Worker, "kind", o.Kind, "workflow", o.Run().Task.Workflow, "error", err)
+		own.logger.Debug("order failed", "worker", o.Worker, "kind", o.Kind, "workflow", o.Run().Task.Workflow, "error", err)
 	}
-	t.mu.Lock()
-	t.engine.Answered(t.config.Now(), o, verdict)
-	t.mu.Unlock()
+	own.mu.Lock()
+	own.engine.Answered(own.config.Now(), o, verdict)
+	own.mu.Unlock()
 	if verdict != briarspring.VerdictDone {
-		poke(t.wake)
+		notify(own.wake)
 	}
 }
 
-func poke(c chan struct{}) {
+// notify signals c without blocking; a pending signal absorbs it.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
