--- a/dispatcher/commit.go
+++ b/dispatcher/commit.go
@@ -8,18 +8,18 @@
 	"briarspring/registrar"
 )
 
-// Batch is what is to be stored together.
+// Batch holds records that are stored together.
 type Batch struct {
 	Progress []briarspring.KeyedRecord // For the data centre's progress stream.
 	ends     []endMark
 	dropped  []briarspring.WorkflowID
 }
 
-// endMark tells up to which end of a worker a batch covers.
+// endMark is the highest number of a worker's ends that a batch covers.
 type endMark struct {
-	worker *worker
-	born   int64
-	number uint64
+	worker      *worker
+	incarnation int64
+	number      uint64
 }
 
 func (d *Dispatcher) markDirty(j *job) {
@@ -28,46 +28,47 @@
 	}
 }
 
-// TakeBatch returns the progress records that are to be stored next; false when
-// there is nothing to store.
+// TakeBatch returns the progress records to store next, or false if there is
+// nothing to store.
 func (d *Dispatcher) TakeBatch() (Batch, bool) {
 	var b Batch
 	for id, j := range d.dirty {
 		delete(d.dirty, id)
-		if j.recorded || j.cancelled || j.away {
+		if j.finalPhaseStored || j.cancelled || j.transferredAway {
 			continue
 		}
 		value, err := encoder.RunProgress(j.progress())
 		if err != nil {
-			d.logger.Error("progress can't be encoded", "workflow", id, "error", err)
+			d.logger.Error("encoding progress failed", "workflow", id, "error", err)
 			continue
 		}
-		j.hasRecord = true
+		j.hasProgressRecord = true
 		b.Progress = append(b.Progress, briarspring.KeyedRecord{Key: string(id), Value: value})
 	}
 	for id, j := range d.jobs {
-		if !j.finished() {
+		if !j.removable() {
 			continue
 		}
-		if j.hasRecord {
+		if j.hasProgressRecord {
 			b.Progress = append(b.Progress, briarspring.KeyedRecord{Key: string(id)})
 		}
 		b.dropped = append(b.dropped, id)
 	}
-	for _, w := range d.order {
-		if w.seen > w.stored {
-			b.ends = append(b.ends, endMark{worker: w, born: w.born, number: w.seen})
+	for _, w := range d.workersByID {
+		if w.lastEndSeen > w.lastEndStored {
+			b.ends = append(b.ends, endMark{worker: w, incarnation: w.incarnation, number: w.lastEndSeen})
 		}
 	}
 	return b, len(b.Progress)+len(b.ends)+len(b.dropped) > 0
 }
 
-// finished reports whether nothing more can become of the job.
-func (j *job) finished() bool {
-	return (j.cancelled || j.recorded || j.away) && j.alive() == 0
+// removable reports whether the job is cancelled, finished or transferred and
+// has no live run.
+func (j *job) removable() bool {
+	return (j.cancelled || j.finalPhaseStored || j.transferredAway) && j.liveRuns() == 0
 }
 
-// progress returns what is to be kept of the tasks that have run.
+// progress returns the progress records of the tasks that have run.
 func (j *job) progress() []briarspring.TaskProgress {
 	var list []briarspring.TaskProgress
 	for _, t := range j.tasks {
@@ -88,32 +89,33 @@
 	return list
 }
 
-// Stored tells that a batch is in the log. Ends that it covers may be forgotten
-// by their workers.
+// Stored records that a batch is in the log. Workers may drop the ends that it
+// covers.
 func (d *Dispatcher) Stored(b Batch) {
 	for _, m := range b.ends {
-		if m.worker.born == m.born {
-			m.worker.stored = max(m.worker.stored, m.number)
+		if m.worker.incarnation == m.incarnation {
+			m.worker.lastEndStored = max(m.worker.lastEndStored, m.number)
 		}
 	}
 	for _, id := range b.dropped {
 		j := d.jobs[id]
 		switch {
 		case j == nil:
-		case j.finished():
+		case j.removable():
 			delete(d.jobs, id)
 		default:
-			// Tasks came back while the batch was on its way.
+			// Tasks were transferred back while the batch was being stored.
 			d.markDirty(j)
 		}
 	}
 }
 
-// TakePhases returns the phases that changed, for the shared stream.
+// TakePhases returns the records of the phases that changed, for the shared
+// stream.
 func (d *Dispatcher) TakePhases() []briarspring.KeyedRecord {
 	var list []briarspring.KeyedRecord
 	for id, j := range d.jobs {
-		if j.phase == j.published || j.cancelled || j.away {
+		if j.phase == j.publishedPhase || j.cancelled || j.transferredAway {
 			continue
 		}
 		key := registrar.RunningKey(id)
@@ -122,10 +124,10 @@
 		}
 		value, err := encoder.PhaseMark(j.phase)
 		if err != nil {
-			d.logger.Error("phase can't be encoded", "workflow", id, "error", err)
+			d.logger.Error("encoding phase failed", "workflow", id, "error", err)
 			continue
 		}
-		j.published = j.phase
+		j.publishedPhase = j.phase
 		list = append(list, briarspring.KeyedRecord{Key: key, Value: value})
 	}
 	return list
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -1,11 +1,12 @@
-// Package dispatcher decides for the owner of a data centre which task runs on
-// which worker. It holds the state of workflows, runs and workers, takes what
-// the workers answer, and returns orders. It does no input or output: the same
+// Package dispatcher decides, for the owner of a data centre, which task runs
+// on which worker. It keeps the state of workflows, runs and workers, processes
+// the workers' replies and returns orders. It does no input or output: the same
 // calls give the same orders.
 //
-// The workers are the authority on what runs. The progress stream only keeps
-// ends, so that they are not lost with a worker; a new owner fences every
-// worker with its token, and takes its report as authoritative.
+// A worker's report is authoritative for what runs on it. The progress stream
+// only records how runs ended, so that this is not lost with a worker. A new
+// owner fences every worker with its token before it relies on the worker's
+// report.
 package dispatcher
 
 import (
@@ -19,85 +20,89 @@
 // Config holds the settings of a Dispatcher.
 type Config struct {
 	DataCentre string
-	Token      uint64        // Of the claim; also the offset that follows it.
-	Lease      time.Duration // Of a worker, from a renewal on; every owner uses the same.
+	Token      uint64        // Fencing token: the log offset that follows the claim.
+	Lease      time.Duration // Duration of a worker's lease from a renewal; the same for every owner.
 	MaxLease   time.Duration // Longest lease that a worker grants.
 	Logger     hclog.Logger
 
-	// Predecessor tells that an earlier owner may have started runs that are
-	// not recorded.
+	// Predecessor reports whether an earlier owner may have started runs that
+	// are not recorded.
 	Predecessor bool
-	// Pacer decides how fast tasks that fill may work.
+	// Pacer sets the speed of best-effort tasks. It may be nil.
 	Pacer Pacer
 }
 
-// Pacer decides how fast the tasks that fill may work on a worker.
+// Pacer limits the speed of best-effort tasks on a worker to protect the
+// long-running tasks there from interference.
 type Pacer interface {
+	// Decide returns the new paces of best-effort tasks on a worker.
 	Decide(now time.Duration, worker string, serving []Serving, filling []Filling) []Pace
 	// Share returns the share of full speed at which one more task of an image
 	// could work on a worker.
 	Share(worker, image string, cores float64, serving []Serving, filling []Filling) float64
-	// Presses reports whether an image presses any of the tasks that serve.
+	// Presses reports whether an image interferes with any of the long-running
+	// tasks.
 	Presses(image string, serving []Serving) bool
-	// Forget drops what is remembered of a worker.
+	// Forget drops everything learned about a worker.
 	Forget(worker string)
-	// Burden returns the share of all images that press tasks that serve.
+	// Burden returns the share of all images that interfere with the
+	// long-running tasks.
 	Burden(serving []Serving) float64
 }
 
-// Serving is a lasting task with a target, as it was last measured.
+// Serving is a long-running task with a latency target, as last measured.
 type Serving struct {
 	Image  string
-	Tail   float64 // Of the target; above one is too slow.
-	Marked bool    // A measurement was made.
+	Tail   float64 // Tail latency as a share of the target; above one is too slow.
+	Marked bool    // Whether there is a recent measurement.
 }
 
-// Filling is a task that fills.
+// Filling is a best-effort task.
 type Filling struct {
 	Run      briarspring.RunRef
 	Image    string
 	Cores    float64 // Declared.
 	Used     float64 // Cores in use at the last reading.
-	Percent  int     // Of full speed at present.
-	Progress int     // In percent of its work.
+	Percent  int     // Pace at present, in percent of full speed.
+	Progress int     // Percent of its work.
 }
 
-// Pace is a decision on the speed of a run.
+// Pace is a decision about the speed of a run, in percent of full speed.
 type Pace struct {
 	Run     briarspring.RunRef
 	Percent int
 }
 
-// Dispatcher is the owner's state of a data centre.
+// Dispatcher holds the state of a data centre for its owner.
 type Dispatcher struct {
-	config  Config
-	logger  hclog.Logger
-	workers map[string]*worker
-	order   []*worker // All workers, by ID.
-	jobs    map[briarspring.WorkflowID]*job
-
-	out          bool // Operators took the data centre out of service.
-	superseded   bool
-	startedAt    time.Duration
-	gone         bool                     // Every earlier owner gives no more orders.
-	goneAt       time.Duration            // When that became known.
-	silent       map[string]time.Duration // When the leases of workers have ended that did not answer the last owner.
-	listed       bool                     // The list of workers was read once.
-	holdStarts   time.Duration            // No workflow of the predecessor's time starts before.
-	barrierNoted bool
-
-	orders     []Order
-	dirty      map[briarspring.WorkflowID]*job
-	changed    bool
-	averages   averages
-	meanSize   map[string]float64 // Mean work of a workflow by queue.
-	now        time.Duration
-	counters   Counters
-	transfers  int             // Number of the last transfer.
-	imagesSeen map[string]bool // Of tasks that fill.
+	config      Config
+	logger      hclog.Logger
+	workers     map[string]*worker
+	workersByID []*worker // All workers, sorted by ID.
+	jobs        map[briarspring.WorkflowID]*job
+
+	outOfService       bool // Operators took the data centre out of service.
+	superseded         bool
+	startedAt          time.Duration
+	predecessorsGone   bool                     // No earlier owner gives orders any more.
+	predecessorsGoneAt time.Duration            // When that became known.
+	silentLeaseEnds    map[string]time.Duration // Lease ends of the workers that did not answer the last owner.
+	workersListed      bool                     // The list of workers was read at least once.
+	startsFrom         time.Duration            // Earliest start of inherited workflows.
+	takeoverLogged     bool
+
+	orders           []Order
+	dirty            map[briarspring.WorkflowID]*job
+	needsPlan        bool // Something changed since the last plan.
+	ratios           runTimeRatios
+	meanSize         map[string]float64 // Mean declared work of a workflow by queue.
+	now              time.Duration
+	counters         Counters
+	lastTransfer     int             // Number of the last transfer.
+	bestEffortImages map[string]bool // Images of best-effort tasks seen so far.
 }
 
-// Counters counts what a dispatcher did, for metrics.
+// Counters holds event counts of a dispatcher, for metrics.
 type Counters struct {
 	Starts    uint64
 	Done      uint64
@@ -109,58 +114,58 @@
 	Completed uint64
 }
 
-// New returns the state of an owner whose claim came into force at a time.
+// New returns the state of an owner whose claim took effect at now.
 func New(now time.Duration, c Config) *Dispatcher {
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
 	}
 	return &Dispatcher{
-		config:     c,
-		logger:     c.Logger,
-		workers:    map[string]*worker{},
-		jobs:       map[briarspring.WorkflowID]*job{},
-		dirty:      map[briarspring.WorkflowID]*job{},
-		startedAt:  now,
-		now:        now,
-		meanSize:   map[string]float64{},
-		averages:   averages{},
-		imagesSeen: map[string]bool{},
+		config:           c,
+		logger:           c.Logger,
+		workers:          map[string]*worker{},
+		jobs:             map[briarspring.WorkflowID]*job{},
+		dirty:            map[briarspring.WorkflowID]*job{},
+		startedAt:        now,
+		now:              now,
+		meanSize:         map[string]float64{},
+		ratios:           runTimeRatios{},
+		bestEffortImages: map[string]bool{},
 	}
 }
 
-// Superseded reports whether a worker has accepted a newer owner's token.
+// Superseded reports whether a worker has accepted the token of a newer owner.
 func (d *Dispatcher) Superseded() bool { return d.superseded }
 
-// Counters returns what the dispatcher did so far.
+// Counters returns the event counts so far.
 func (d *Dispatcher) Counters() Counters { return d.counters }
 
-// SetOut tells whether operators took the data centre out of service.
+// SetOut sets whether operators have taken the data centre out of service.
 func (d *Dispatcher) SetOut(now time.Duration, out bool) {
 	d.now = now
-	if d.out == out {
+	if d.outOfService == out {
 		return
 	}
-	d.out = out
-	d.changed = true
-	d.logger.Info("data centre's service changed", "out", out)
+	d.outOfService = out
+	d.needsPlan = true
+	d.logger.Info("data centre taken out of service or put back", "out", out)
 }
 
-// HoldStarts keeps workflows of the predecessor's time from starting before a
-// time, because the list of workers may be incomplete until then.
-func (d *Dispatcher) HoldStarts(until time.Duration) { d.holdStarts = max(d.holdStarts, until) }
+// HoldStarts delays the start of inherited workflows until a time, because the
+// list of workers may be incomplete before it.
+func (d *Dispatcher) HoldStarts(until time.Duration) { d.startsFrom = max(d.startsFrom, until) }
 
-// EarlierGone tells when it became known that every earlier owner gives no more
-// orders.
+// EarlierGone records when it became known that no earlier owner gives orders
+// any more.
 func (d *Dispatcher) EarlierGone(at time.Duration) {
-	d.gone = true
-	d.goneAt = at
+	d.predecessorsGone = true
+	d.predecessorsGoneAt = at
 }
 
-// EarlierSilent tells which workers did not answer the last owner, and when
-// their leases have certainly ended.
-func (d *Dispatcher) EarlierSilent(lapses map[string]time.Duration) { d.silent = lapses }
+// EarlierSilent sets the workers that did not answer the last owner and the
+// time by which their leases have certainly ended.
+func (d *Dispatcher) EarlierSilent(ends map[string]time.Duration) { d.silentLeaseEnds = ends }
 
-// OrderKind tells orders apart.
+// OrderKind is the kind of an order.
 type OrderKind uint8
 
 // The kinds of orders.
@@ -170,7 +175,8 @@
 	OrderPace  OrderKind = 3
 )
 
-// Order is something that a worker is to do.
+// Order is an instruction for a worker. Kind says which of Start, Stop and Pace
+// is set.
 type Order struct {
 	Kind    OrderKind
 	Worker  string
@@ -180,7 +186,7 @@
 	Pace    briarspring.PaceOrder
 }
 
-// Run returns the run that the order is about.
+// Run returns the run that the order refers to.
 func (o Order) Run() briarspring.RunRef {
 	switch o.Kind {
 	case OrderStart:
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -12,9 +12,9 @@
 	"briarspring/dispatcher"
 )
 
-// site is a dispatcher with workers that answer at once, in a time that the test
-// moves on.
-type site struct {
+// fixture is a dispatcher with workers that answer at once. The test advances
+// its time.
+type fixture struct {
 	t       *testing.T
 	now     time.Duration
 	d       *dispatcher.Dispatcher
@@ -29,9 +29,9 @@
 	number  uint64
 }
 
-func newSite(t *testing.T, c dispatcher.Config, workers int) *site {
-	s := &site{t: t, now: time.Minute, workers: map[string]*fakeWorker{}}
-	s.begin(c)
+func newFixture(t *testing.T, c dispatcher.Config, workers int) *fixture {
+	s := &fixture{t: t, now: time.Minute, workers: map[string]*fakeWorker{}}
+	s.newOwner(c)
 	var entries []briarspring.WorkerEntry
 	for i := range workers {
 		e := briarspring.WorkerEntry{
@@ -42,31 +42,32 @@
 		entries = append(entries, e)
 	}
 	s.d.SetWorkers(s.now, entries)
-	s.holdAll()
+	s.renewAll()
 	return s
 }
 
-// begin makes the dispatcher of a new owner.
-func (s *site) begin(c dispatcher.Config) {
+// newOwner creates the dispatcher of a new owner.
+func (s *fixture) newOwner(c dispatcher.Config) {
 	c.DataCentre, c.Lease, c.MaxLease = "tartu", 5500*time.Millisecond, 6*time.Second
 	s.d = dispatcher.New(s.now, c)
 }
 
-// successor returns the same workers under a new owner that does not know of them.
-func (s *site) successor(token uint64) *site {
-	next := &site{t: s.t, now: s.now, workers: s.workers}
-	next.begin(dispatcher.Config{Token: token, Predecessor: true})
+// successor returns a fixture with the same workers and a new owner that does
+// not know them yet.
+func (s *fixture) successor(token uint64) *fixture {
+	next := &fixture{t: s.t, now: s.now, workers: s.workers}
+	next.newOwner(dispatcher.Config{Token: token, Predecessor: true})
 	return next
 }
 
-// holdAll renews every worker's lease and takes in what it says.
-func (s *site) holdAll() {
+// renewAll renews every worker's lease and processes the replies.
+func (s *fixture) renewAll() {
 	for i := range len(s.workers) {
-		s.hold(fmt.Sprintf("w%d", i))
+		s.renew(fmt.Sprintf("w%d", i))
 	}
 }
 
-func (s *site) hold(id string) {
+func (s *fixture) renew(id string) {
 	h, ok := s.d.Hold(s.now, id)
 	require.True(s.t, ok)
 	w := s.workers[id]
@@ -80,8 +81,9 @@
 	s.d.Held(s.now, s.now, id, reply)
 }
 
-// plan lets the workers carry out the orders that are due and returns them.
-func (s *site) plan() []dispatcher.Order {
+// planAndApply has the workers carry out the orders that are due and returns
+// the orders.
+func (s *fixture) planAndApply() []dispatcher.Order {
 	s.d.Tick()
 	orders := s.d.Plan(s.now)
 	for _, o := range orders {
@@ -91,7 +93,7 @@
 			w.running[o.Start.Run] = briarspring.RunningTask{Run: o.Start.Run, Percent: 100}
 		case dispatcher.OrderStop:
 			if _, ok := w.running[o.Stop.Run]; ok {
-				s.end(o.Worker, o.Stop.Run, briarspring.RunStopped)
+				s.endRun(o.Worker, o.Stop.Run, briarspring.RunStopped)
 			}
 		}
 		s.d.Answered(s.now, o, briarspring.VerdictDone)
@@ -99,21 +101,21 @@
 	return orders
 }
 
-func (s *site) end(worker string, run briarspring.RunRef, how briarspring.RunEnd) {
+func (s *fixture) endRun(worker string, run briarspring.RunRef, how briarspring.RunEnd) {
 	w := s.workers[worker]
 	delete(w.running, run)
 	w.number++
 	w.ended = append(w.ended, briarspring.EndedTask{Number: w.number, Run: run, End: how})
 }
 
-// store stores what is due, as if the log answered at once.
-func (s *site) store() {
+// store acknowledges the next batch, as if the log answered at once.
+func (s *fixture) store() {
 	if b, due := s.d.TakeBatch(); due {
 		s.d.Stored(b)
 	}
 }
 
-// starts returns the runs that orders start, by worker.
+// starts returns the started runs by worker.
 func starts(orders []dispatcher.Order) map[string][]briarspring.RunRef {
 	list := map[string][]briarspring.RunRef{}
 	for _, o := range orders {
@@ -124,7 +126,7 @@
 	return list
 }
 
-func count(list map[string][]briarspring.RunRef) int {
+func countRuns(list map[string][]briarspring.RunRef) int {
 	n := 0
 	for _, runs := range list {
 		n += len(runs)
@@ -148,80 +150,80 @@
 
 func TestStarts(t *testing.T) {
 	t.Run("keep to a worker's capacity", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 2)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 2)
 		s.d.Submit(s.now, 0, workflow("a", step(7, 3000)), 5, nil, nil)
-		list := starts(s.plan())
+		list := starts(s.planAndApply())
 		assert.Len(t, list["w0"], 2)
 		assert.Len(t, list["w1"], 2)
 	})
 	t.Run("keep to the tasks of a step on a worker", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 2)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 2)
 		spread := step(4, 1000)
 		spread.MaxPerWorker = 1
 		s.d.Submit(s.now, 0, workflow("a", spread), 5, nil, nil)
-		assert.Equal(t, 2, count(starts(s.plan())))
+		assert.Equal(t, 2, countRuns(starts(s.planAndApply())))
 	})
 	t.Run("wait for the steps before", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		second := step(1, 1000)
 		second.After = []int{0}
 		s.d.Submit(s.now, 0, workflow("a", step(1, 1000), second), 5, nil, nil)
-		run := starts(s.plan())["w0"][0]
+		run := starts(s.planAndApply())["w0"][0]
 		assert.Equal(t, 0, run.Task.Step)
-		s.end("w0", run, briarspring.RunDone)
+		s.endRun("w0", run, briarspring.RunDone)
 		s.now += 100 * time.Millisecond
-		s.holdAll()
-		assert.Equal(t, 1, starts(s.plan())["w0"][0].Task.Step)
+		s.renewAll()
+		assert.Equal(t, 1, starts(s.planAndApply())["w0"][0].Task.Step)
 	})
 	t.Run("of urgent work come before others", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		later := workflow("a", step(8, 1000))
 		later.Priority = 2
 		s.d.Submit(s.now, 0, later, 5, nil, nil)
 		s.d.Submit(s.now, 0, workflow("b", step(4, 1000)), 6, nil, nil)
-		first := starts(s.plan())["w0"]
+		first := starts(s.planAndApply())["w0"]
 		require.Len(t, first, 8)
 		for _, run := range first[:4] {
 			assert.Equal(t, briarspring.WorkflowID("b"), run.Task.Workflow)
 		}
 	})
 	t.Run("do not happen while the data centre is out of service", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		s.d.SetOut(s.now, true)
 		s.d.Submit(s.now, 0, workflow("a", step(1, 1000)), 5, nil, nil)
-		assert.Empty(t, s.plan())
+		assert.Empty(t, s.planAndApply())
 	})
 }
 
 func TestEnds(t *testing.T) {
 	t.Run("that fail count once, however often they are listed", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		s.d.Submit(s.now, 0, workflow("a", step(1, 1000)), 5, []briarspring.TaskProgress{
 			{Position: 0, Run: 2, FailedRuns: []uint32{1, 2}},
 		}, nil)
 		task := briarspring.TaskRef{Workflow: "a"}
-		s.end("w0", briarspring.RunRef{Task: task, Run: 1}, briarspring.RunFailed)
-		s.end("w0", briarspring.RunRef{Task: task, Run: 2}, briarspring.RunFailed)
+		s.endRun("w0", briarspring.RunRef{Task: task, Run: 1}, briarspring.RunFailed)
+		s.endRun("w0", briarspring.RunRef{Task: task, Run: 2}, briarspring.RunFailed)
 		s.now += 100 * time.Millisecond
-		s.holdAll()
-		assert.Equal(t, 1, count(starts(s.plan())), "two of three runs have failed")
+		s.renewAll()
+		assert.Equal(t, 1, countRuns(starts(s.planAndApply())), "two of three runs have failed")
 	})
 	t.Run("are acknowledged when they are stored", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		s.d.Submit(s.now, 0, workflow("a", step(2, 1000)), 5, nil, nil)
-		s.end("w0", starts(s.plan())["w0"][0], briarspring.RunDone)
-		s.holdAll()
+		s.endRun("w0", starts(s.planAndApply())["w0"][0], briarspring.RunDone)
+		s.renewAll()
 		h, _ := s.d.Hold(s.now, "w0")
 		assert.Zero(t, h.EndsBefore)
 		s.store()
 		h, _ = s.d.Hold(s.now, "w0")
 		assert.Equal(t, uint64(1), h.EndsBefore)
 	})
-	t.Run("of a new life are not acknowledged by numbers of the old one", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
+	t.Run("of a new incarnation are not acknowledged by numbers of the old one", func(t *testing.T) {
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		s.d.Submit(s.now, 0, workflow("a", step(2, 1000)), 5, nil, nil)
-		s.end("w0", starts(s.plan())["w0"][0], briarspring.RunDone)
-		s.holdAll()
+		s.endRun("w0", starts(s.planAndApply())["w0"][0], briarspring.RunDone)
+		s.renewAll()
 		s.store()
 		s.d.HoldLost(s.now, "w0", briarspring.VerdictUnanswered)
 		h, _ := s.d.Hold(s.now, "w0")
@@ -231,26 +233,26 @@
 
 func TestLeases(t *testing.T) {
 	t.Run("of a silent worker run out", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 2)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 2)
 		spread := step(2, 1000)
 		spread.MaxPerWorker = 1
 		s.d.Submit(s.now, 0, workflow("a", spread), 5, nil, nil)
-		require.Len(t, starts(s.plan()), 2)
+		require.Len(t, starts(s.planAndApply()), 2)
 		for range 70 {
 			s.now += 100 * time.Millisecond
 			s.d.Hold(s.now, "w0")
 			s.d.HoldLost(s.now, "w0", briarspring.VerdictUnanswered)
-			s.hold("w1")
+			s.renew("w1")
 			s.d.Plan(s.now)
 		}
 		assert.Equal(t, uint64(1), s.d.Counters().Lost)
 	})
-	t.Run("of a reborn worker may be the longest", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
+	t.Run("of a restarted worker may be the longest", func(t *testing.T) {
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		s.d.Submit(s.now, 0, workflow("a", step(1, 1000)), 5, nil, nil)
-		s.plan()
+		s.planAndApply()
 		s.workers["w0"].born = 2
-		s.holdAll()
+		s.renewAll()
 		for range 59 {
 			s.now += 100 * time.Millisecond
 			s.d.HoldLost(s.now, "w0", briarspring.VerdictUnanswered)
@@ -261,8 +263,8 @@
 }
 
 func TestTakeover(t *testing.T) {
-	inherited := func(t *testing.T) *site {
-		s := newSite(t, dispatcher.Config{Token: 100, Predecessor: true}, 0)
+	newTakeover := func(t *testing.T) *fixture {
+		s := newFixture(t, dispatcher.Config{Token: 100, Predecessor: true}, 0)
 		s.workers["w0"] = &fakeWorker{born: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
 		s.workers["w1"] = &fakeWorker{born: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
 		return s
@@ -277,9 +279,10 @@
 		}
 		return list
 	}
-	// newSite listed no workers, so the site begins before its first list.
-	begin := func(t *testing.T) *site {
-		s := inherited(t)
+	// newFixture has already set an empty list of workers, so this replaces the
+	// dispatcher by one that has read no list yet.
+	takeOver := func(t *testing.T) *fixture {
+		s := newTakeover(t)
 		s.d = dispatcher.New(s.now, dispatcher.Config{
 			DataCentre: "tartu", Token: 100, Predecessor: true, Lease: 5500 * time.Millisecond, MaxLease: 6 * time.Second,
 		})
@@ -287,86 +290,86 @@
 		s.d.SetWorkers(s.now, entries())
 		return s
 	}
-	t.Run("waits until every worker holds to the new owner", func(t *testing.T) {
-		s := begin(t)
-		s.hold("w0")
-		assert.Empty(t, starts(s.plan()))
-		s.hold("w1")
-		assert.Equal(t, 1, count(starts(s.plan())))
+	t.Run("waits until every worker has accepted the new owner's token", func(t *testing.T) {
+		s := takeOver(t)
+		s.renew("w0")
+		assert.Empty(t, starts(s.planAndApply()))
+		s.renew("w1")
+		assert.Equal(t, 1, countRuns(starts(s.planAndApply())))
 	})
 	t.Run("asks each worker for an answer at once", func(t *testing.T) {
-		s := begin(t)
+		s := takeOver(t)
 		first, _ := s.d.Hold(s.now, "w0")
 		assert.Zero(t, first.Wait)
-		s.hold("w0")
+		s.renew("w0")
 		next, _ := s.d.Hold(s.now, "w0")
 		assert.Positive(t, next.Wait)
 	})
 	t.Run("starts what was submitted after the claim at once", func(t *testing.T) {
-		s := begin(t)
-		s.hold("w0")
+		s := takeOver(t)
+		s.renew("w0")
 		s.d.Submit(s.now, 0, workflow("new", step(1, 1000)), 120, nil, nil)
-		assert.Equal(t, briarspring.WorkflowID("new"), starts(s.plan())["w0"][0].Task.Workflow)
+		assert.Equal(t, briarspring.WorkflowID("new"), starts(s.planAndApply())["w0"][0].Task.Workflow)
 	})
-	t.Run("takes what runs as the truth", func(t *testing.T) {
-		s := begin(t)
+	t.Run("keeps the runs that workers report", func(t *testing.T) {
+		s := takeOver(t)
 		run := briarspring.RunRef{Task: briarspring.TaskRef{Workflow: "old"}, Run: 7}
 		s.workers["w1"].running[run] = briarspring.RunningTask{Run: run, Percent: 100}
-		s.holdAll()
-		assert.Empty(t, starts(s.plan()))
+		s.renewAll()
+		assert.Empty(t, starts(s.planAndApply()))
 	})
 	t.Run("waits for leases that the earlier owner gave", func(t *testing.T) {
-		s := begin(t)
-		s.hold("w0")
+		s := takeOver(t)
+		s.renew("w0")
 		s.d.EarlierGone(s.now)
 		s.now += 5 * time.Second
-		s.hold("w0")
-		assert.Empty(t, starts(s.plan()))
+		s.renew("w0")
+		assert.Empty(t, starts(s.planAndApply()))
 		s.now += time.Second
-		s.hold("w0")
-		assert.Equal(t, 1, count(starts(s.plan())))
+		s.renew("w0")
+		assert.Equal(t, 1, countRuns(starts(s.planAndApply())))
 	})
 	t.Run("knows from the earlier owner which leases have ended", func(t *testing.T) {
-		s := begin(t)
-		s.hold("w0")
+		s := takeOver(t)
+		s.renew("w0")
 		s.d.EarlierSilent(map[string]time.Duration{"w1": s.now - 1})
-		assert.Equal(t, 1, count(starts(s.plan())))
+		assert.Equal(t, 1, countRuns(starts(s.planAndApply())))
 	})
 }
 
 func TestStragglers(t *testing.T) {
 	t.Run("are copied where that is allowed", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 2)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 2)
 		twice := step(1, 1000)
 		twice.Speculative = true
 		s.d.Submit(s.now, 0, workflow("a", twice), 5, nil, nil)
-		first := starts(s.plan())
+		first := starts(s.planAndApply())
 		s.now += 1500 * time.Millisecond
-		s.holdAll()
-		assert.Empty(t, starts(s.plan()))
+		s.renewAll()
+		assert.Empty(t, starts(s.planAndApply()))
 		s.now += 400 * time.Millisecond
-		s.holdAll()
-		second := starts(s.plan())
-		require.Equal(t, 1, count(second))
+		s.renewAll()
+		second := starts(s.planAndApply())
+		require.Equal(t, 1, countRuns(second))
 		for worker := range first {
 			assert.NotContains(t, second, worker)
 		}
 		for worker, runs := range second {
-			s.end(worker, runs[0], briarspring.RunDone)
+			s.endRun(worker, runs[0], briarspring.RunDone)
 		}
-		s.holdAll()
-		orders := s.plan()
+		s.renewAll()
+		orders := s.planAndApply()
 		require.Len(t, orders, 1)
 		assert.Equal(t, dispatcher.OrderStop, orders[0].Kind, "the slow run is stopped")
 	})
 	t.Run("that stand still start again elsewhere", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 2)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 2)
 		s.d.Submit(s.now, 0, workflow("a", step(1, 1000)), 5, nil, nil)
-		first := starts(s.plan())
+		first := starts(s.planAndApply())
 		for range 20 {
 			s.now += 100 * time.Millisecond
-			s.holdAll()
-			for _, o := range s.plan() {
+			s.renewAll()
+			for _, o := range s.planAndApply() {
 				if o.Kind == dispatcher.OrderStart {
 					assert.NotContains(t, first, o.Worker)
 					assert.Equal(t, uint32(2), o.Start.Run.Run)
@@ -378,7 +381,7 @@
 	})
 }
 
-// stubPacer lets nothing that fills run at more than a share of full speed.
+// stubPacer limits best-effort tasks to a share of full speed.
 type stubPacer struct{ share float64 }
 
 func (stubPacer) Decide(time.Duration, string, []dispatcher.Serving, []dispatcher.Filling) []dispatcher.Pace {
@@ -394,50 +397,50 @@
 func (stubPacer) Burden([]dispatcher.Serving) float64       { return 0 }
 
 func TestFilling(t *testing.T) {
-	fills := step(3, 1000)
-	fills.Fills, fills.Image = true, "x"
-	// A workflow of which nothing ran waited for a worker that it does not press
-	// until the end of the day.
+	bestEffort := step(3, 1000)
+	bestEffort.Fills, bestEffort.Image = true, "x"
+	// Guards against a workflow without live runs that waits all day for a
+	// worker where it interferes with nothing.
 	t.Run("starts one task when nothing of its workflow can run at a good pace", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1, Pacer: stubPacer{share: 0.05}}, 2)
-		s.d.Submit(s.now, 0, workflow("a", fills), 5, nil, nil)
-		assert.Empty(t, starts(s.plan()))
+		s := newFixture(t, dispatcher.Config{Token: 1, Pacer: stubPacer{share: 0.05}}, 2)
+		s.d.Submit(s.now, 0, workflow("a", bestEffort), 5, nil, nil)
+		assert.Empty(t, starts(s.planAndApply()))
 		s.now += 1300 * time.Millisecond
-		s.holdAll()
-		orders := s.plan()
-		assert.Equal(t, 1, count(starts(orders)))
+		s.renewAll()
+		orders := s.planAndApply()
+		assert.Equal(t, 1, countRuns(starts(orders)))
 		s.now += 3 * time.Second
-		s.holdAll()
-		for _, o := range s.plan() {
+		s.renewAll()
+		for _, o := range s.planAndApply() {
 			assert.NotEqual(t, dispatcher.OrderStop, o.Kind, "it is all that runs of its workflow")
 		}
 	})
-	t.Run("gives its memory to lasting tasks", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
+	t.Run("is preempted for the memory of long-running tasks", func(t *testing.T) {
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		large := step(7, 1000)
 		large.Fills, large.Checkpoints = true, true
 		large.Resources = briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 1000, MemoryMiB: 4500})
 		s.d.Submit(s.now, 0, workflow("a", large), 5, nil, nil)
-		require.Equal(t, 7, count(starts(s.plan())))
-		lasting := step(1, 3000)
-		lasting.Lasting = true
-		lasting.Resources = briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 3000, MemoryMiB: 9000})
-		s.d.Submit(s.now, 0, workflow("b", lasting), 6, nil, nil)
-		orders := s.plan()
-		require.Len(t, orders, 2, "two of seven give way")
+		require.Equal(t, 7, countRuns(starts(s.planAndApply())))
+		service := step(1, 3000)
+		service.Lasting = true
+		service.Resources = briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 3000, MemoryMiB: 9000})
+		s.d.Submit(s.now, 0, workflow("b", service), 6, nil, nil)
+		orders := s.planAndApply()
+		require.Len(t, orders, 2, "two of seven are preempted")
 		assert.Equal(t, dispatcher.OrderStop, orders[0].Kind)
 		s.now += 300 * time.Millisecond
-		s.holdAll()
-		list := starts(s.plan())
+		s.renewAll()
+		list := starts(s.planAndApply())
 		require.NotEmpty(t, list["w0"])
 		assert.Equal(t, briarspring.WorkflowID("b"), list["w0"][0].Task.Workflow)
 	})
 }
 
 func TestReplacedWorkers(t *testing.T) {
-	s := newSite(t, dispatcher.Config{Token: 1}, 2)
+	s := newFixture(t, dispatcher.Config{Token: 1}, 2)
 	s.d.Submit(s.now, 0, workflow("a", step(2, 5000)), 5, nil, nil)
-	require.Len(t, starts(s.plan()), 2)
+	require.Len(t, starts(s.planAndApply()), 2)
 	left := []briarspring.WorkerEntry{s.workers["w1"].entry}
 	s.d.SetWorkers(s.now, left)
 	s.now += 6 * time.Minute
@@ -448,7 +451,7 @@
 	s.d.Plan(s.now)
 	s.d.SetWorkers(s.now, left)
 	_, known = s.d.Hold(s.now, "w0")
-	assert.False(t, known, "a worker that left long ago and holds nothing is forgotten")
+	assert.False(t, known, "a worker that left long ago and has no runs is forgotten")
 	_, known = s.d.Hold(s.now, "w1")
 	assert.True(t, known)
 }
--- a/dispatcher/drain.go
+++ b/dispatcher/drain.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// leaveMargin before a draining worker leaves, at which everything that still
-	// runs there is stopped: the longest stated stop time of 0.9 s, and orders on
-	// the way. A stop gives a certain end, a worker that is gone only a lease that
-	// has to lapse.
+	// leaveMargin is the time before a draining worker leaves at which
+	// everything that still runs there is stopped: the longest stated stop time
+	// of 0.9 s plus the transit of orders. A stopped run has certainly ended,
+	// but after a worker leaves, its lease has to run out first.
 	leaveMargin = 1500 * time.Millisecond
-	// maxEntryAge bounds the age of an entry by the worker's clock; entries are
-	// written every 1.5 s.
+	// maxEntryAge bounds the age of an entry as computed with the worker's
+	// clock; entries are written every 1.5 s.
 	maxEntryAge = 3 * time.Second
 )
 
-// noteLeaving works out when a draining worker leaves, from its latest entry.
-func (d *Dispatcher) noteLeaving(w *worker) {
+// updateLeaveTime estimates from its latest entry when a draining worker
+// leaves.
+func (d *Dispatcher) updateLeaveTime(w *worker) {
 	if !w.entry.Draining {
 		w.leavesAt = 0
 		return
@@ -33,28 +34,28 @@
 	}
 }
 
-// clearDraining has what runs on draining workers start elsewhere before they
-// leave: lasting tasks as soon as there is room, one at a time for each worker,
-// the rest when it would be cut off.
-func (d *Dispatcher) clearDraining() {
-	for _, w := range d.order {
+// drainWorkers stops the runs on draining workers so that they start elsewhere
+// before the worker leaves: long-running tasks as soon as there is room, one at
+// a time per worker, all others just before the worker leaves.
+func (d *Dispatcher) drainWorkers() {
+	for _, w := range d.workersByID {
 		if !w.entry.Draining || !w.listed || !w.fenced || len(w.runs) == 0 {
 			continue
 		}
 		if d.now > w.leavesAt-leaveMargin {
 			for _, r := range w.runs {
-				d.stop(r, "its worker leaves")
+				d.stop(r, "worker leaves")
 			}
 			continue
 		}
-		if r := d.nextMove(w); r != nil && !d.out {
-			d.stop(r, "moves before its worker leaves")
+		if r := d.nextDrained(w); r != nil && !d.outOfService {
+			d.stop(r, "moved before its worker leaves")
 		}
 	}
 }
 
-// mayStopOne reports whether one more task of a lasting step may be stopped, in view
-// of how many are not at work.
+// mayStopOne reports whether another task of a long-running step may be stopped
+// without exceeding MaxMissing.
 func (s *step) mayStopOne() bool {
 	most := s.spec().MaxMissing
 	if most == 0 {
@@ -62,19 +63,19 @@
 	}
 	missing := 0
 	for _, t := range s.tasks {
-		if t.mine && !slices.ContainsFunc(t.runs, (*run).works) {
+		if t.local && !slices.ContainsFunc(t.runs, (*run).working) {
 			missing++
 		}
 	}
 	return missing < most
 }
 
-// works reports whether a lasting run is at work and stays so.
-func (r *run) works() bool { return r.state == runAlive && !r.stopping && r.percent == atWork }
+// working reports whether a long-running run is at work and not being stopped.
+func (r *run) working() bool { return r.state == runAlive && !r.stopping && r.progress == atWork }
 
-// nextMove returns a lasting run that may start on another worker; nil while one
-// is on its way already, or when there is no room.
-func (d *Dispatcher) nextMove(w *worker) *run {
+// nextDrained returns a long-running run that can move to another worker. It
+// returns nil while another one is stopping or when there is no room.
+func (d *Dispatcher) nextDrained(w *worker) *run {
 	var movable []*run
 	for _, r := range w.runs {
 		switch {
@@ -88,7 +89,7 @@
 	if len(movable) == 0 {
 		return nil
 	}
-	// The widest first, while there are large holes.
+	// Move the largest first, while there are large gaps.
 	return slices.MinFunc(movable, func(a, b *run) int {
 		return cmp.Or(
 			cmp.Compare(b.task.step.spec().Resources.MilliCPU(), a.task.step.spec().Resources.MilliCPU()),
--- a/dispatcher/gang.go
+++ b/dispatcher/gang.go
@@ -7,7 +7,7 @@
 	"briarspring"
 )
 
-// lastRun returns the highest number of a run of the step's tasks.
+// lastRun returns the highest run number of the step's tasks.
 func (s *step) lastRun() uint32 {
 	highest := uint32(0)
 	for _, t := range s.tasks {
@@ -16,9 +16,9 @@
 	return highest
 }
 
-// save keeps a checkpoint. That of one member of a gang is valid for all, and all
-// have to start from the same one.
-func (t *task) save(checkpoint string) {
+// saveCheckpoint records a checkpoint of the task. A checkpoint of one member
+// of a gang is valid for all, and all have to start from the same one.
+func (t *task) saveCheckpoint(checkpoint string) {
 	t.checkpoint = checkpoint
 	if !t.step.spec().Gang {
 		return
@@ -28,24 +28,24 @@
 	}
 }
 
-// breakPartial stops the rest of a gang of which a member is missing or about to
-// stop. It answers members that failed, were refused or went with their worker:
-// the others would hold their workers without working.
-func (d *Dispatcher) breakPartial(s *step) {
+// stopPartialGang stops the remaining runs of a gang with a member that is
+// missing or stopping, because it failed, was refused or was lost with its
+// worker. The others would occupy their workers without working.
+func (d *Dispatcher) stopPartialGang(s *step) {
 	if !s.partial() {
 		return
 	}
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
-			d.stop(r, "a member of its gang is missing")
+			d.stop(r, "gang lost a member")
 		}
 	}
 }
 
-// partial reports whether some tasks of a gang have a run and not all of them
-// one of the same number that goes on.
+// partial reports whether some tasks of a gang have a run, but not all of them
+// one of the same number that is not stopping.
 func (s *step) partial() bool {
-	if s.left == 0 || s.waiting == s.left {
+	if s.unfinished == 0 || s.waiting == s.unfinished {
 		return false
 	}
 	highest := s.lastRun()
@@ -57,22 +57,22 @@
 	return false
 }
 
-// booking is a worker that was chosen for a member of a gang.
-type booking struct {
-	task   *task
-	worker *worker
-	share  float64 // Of full speed.
-	weight int64   // What the task adds to the worker's filling.
+// placement is the worker chosen for a member of a gang.
+type placement struct {
+	task          *task
+	worker        *worker
+	share         float64 // Share of full speed.
+	bestEffortCPU int64   // Added to the worker's bestEffortCPU.
 }
 
-// assignGang starts all tasks of a gang, or none. It answers gangs of which only
-// some members would find room: they would hold it for nothing. All members start
-// with the same number of the run.
+// assignGang starts all tasks of a gang or none, because members that started
+// alone would occupy their workers for nothing. All members start with the same
+// run number.
 func (d *Dispatcher) assignGang(s *step) {
-	if s.waiting != s.left || d.exhausted(s.tasks[0]) || slices.ContainsFunc(s.tasks, func(t *task) bool { return !t.pending() }) {
+	if s.waiting != s.unfinished || d.exhausted(s.tasks[0]) || slices.ContainsFunc(s.tasks, func(t *task) bool { return !t.pending() }) {
 		return
 	}
-	bookings := d.bookGang(s)
+	bookings := d.placeGang(s)
 	number := s.lastRun() + 1
 	for _, p := range bookings {
 		r := d.startRun(p.task, p.worker, number)
@@ -82,29 +82,31 @@
 	}
 }
 
-// bookGang chooses workers for all members of a gang; nil while there is no room
-// for all. Racks come first where one rack is better, until the gang has waited
-// for as long as its tasks take: that is the least that several racks cost.
-func (d *Dispatcher) bookGang(s *step) []booking {
+// placeGang chooses workers for all members of a gang, or returns nil if there
+// is no room for all. A gang that runs faster on one rack is placed on one,
+// until it has waited for as long as its tasks take: that is the least that
+// running on several racks costs.
+func (d *Dispatcher) placeGang(s *step) []placement {
 	if !s.spec().OneRack {
-		return d.bookAll(s)
+		return d.placeAll(s)
 	}
 	for _, rack := range d.racks() {
-		s.within = rack
-		bookings := d.bookAll(s)
-		s.within = ""
+		s.rack = rack
+		bookings := d.placeAll(s)
+		s.rack = ""
 		if bookings != nil {
 			return bookings
 		}
 	}
-	if d.now-s.waitsSince() < d.expectedStep(s) && d.mayFitOneRack(s) {
+	if d.now-s.readySince() < d.expectedRunTime(s) && d.mayFitOneRack(s) {
 		return nil
 	}
-	return d.bookAll(s)
+	return d.placeAll(s)
 }
 
-// waitsSince returns since when all tasks of the step could have started.
-func (s *step) waitsSince() time.Duration {
+// readySince returns the time from which all tasks of the step could have
+// started.
+func (s *step) readySince() time.Duration {
 	since := time.Duration(0)
 	for _, t := range s.tasks {
 		since = max(since, t.readySince)
@@ -112,45 +114,47 @@
 	return since
 }
 
-// bookAll chooses workers for all tasks of a step; nil when one finds none.
-func (d *Dispatcher) bookAll(s *step) []booking {
-	var bookings []booking
+// placeAll chooses workers for all tasks of a step, or returns nil if one of
+// them fits nowhere.
+func (d *Dispatcher) placeAll(s *step) []placement {
+	var bookings []placement
 	for _, t := range s.tasks {
-		p := booking{task: t}
+		p := placement{task: t}
 		if s.spec().Fills {
-			p.worker, p.share = d.chooseFilling(t)
+			p.worker, p.share = d.chooseBestEffort(t)
 		} else {
 			p.worker = d.bestReserved(t)
 		}
 		if p.worker == nil {
-			if !s.spec().Fills && s.within == "" {
-				d.makeRoom(t)
+			if !s.spec().Fills && s.rack == "" {
+				d.preemptFor(t)
 			}
-			s.unbook(bookings)
+			s.releasePlacements(bookings)
 			return nil
 		}
-		p.weight = p.worker.book(s.spec())
+		p.bestEffortCPU = p.worker.reserve(s.spec())
 		s.spread[p.worker]++
 		bookings = append(bookings, p)
 	}
-	s.unbook(bookings)
+	s.releasePlacements(bookings)
 	return bookings
 }
 
-// unbook releases what was booked while the others were chosen.
-func (s *step) unbook(bookings []booking) {
+// releasePlacements releases what was reserved for placements while the others
+// were chosen.
+func (s *step) releasePlacements(bookings []placement) {
 	for _, p := range bookings {
-		p.worker.release(s.spec(), p.weight)
+		p.worker.release(s.spec(), p.bestEffortCPU)
 		if s.spread[p.worker]--; s.spread[p.worker] == 0 {
 			delete(s.spread, p.worker)
 		}
 	}
 }
 
-// racks returns the names of all racks, in order.
+// racks returns the names of all racks, sorted.
 func (d *Dispatcher) racks() []string {
 	var racks []string
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.listed && w.entry.Rack != "" {
 			racks = append(racks, w.entry.Rack)
 		}
@@ -159,12 +163,11 @@
 	return slices.Compact(racks)
 }
 
-// mayFitOneRack reports whether one rack would have room for all members if
-// nothing else ran there.
+// mayFitOneRack reports whether one empty rack would have room for all members.
 func (d *Dispatcher) mayFitOneRack(s *step) bool {
 	spec := s.spec()
 	fit := map[string]int{}
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.listed && !w.entry.Draining {
 			fit[w.entry.Rack] += tasksOn(spec, w)
 		}
@@ -177,8 +180,7 @@
 	return false
 }
 
-// tasksOn returns how many tasks of a step a worker has room for while nothing
-// runs there.
+// tasksOn returns how many tasks of a step fit on an empty worker.
 func tasksOn(spec *briarspring.Step, w *worker) int {
 	most := spec.Tasks
 	if spec.MaxPerWorker > 0 {
@@ -191,12 +193,12 @@
 	return n
 }
 
-// atSpeed reports whether all members of a gang could work at a speed at which
-// progress is expected; one that is slowed holds the others back.
+// atSpeed reports whether all members of a gang run at a pace at which progress
+// is expected; one slowed member holds the others back.
 func (s *step) atSpeed(now time.Duration) bool {
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
-			if r.pace < stallPace || now-r.pacedAt < stallTime || !r.listed || now-r.since < stallTime {
+			if r.pace < stallPace || now-r.paceChangedAt < stallTime || !r.listed || now-r.since < stallTime {
 				return false
 			}
 		}
--- a/dispatcher/job.go
+++ b/dispatcher/job.go
@@ -7,50 +7,50 @@
 	"briarspring"
 )
 
-// job is a workflow, as far as this data centre runs it.
+// job is a workflow and the part of it that this data centre runs.
 type job struct {
-	workflow  *briarspring.Workflow
-	offset    uint64        // Of the submission.
-	submitted time.Duration // By this process's clock.
-	steps     []*step       // Of all occurrences, one after the other.
-	tasks     []*task       // Of all steps, by position.
-	cancelled bool
-	phase     briarspring.Phase
-	published briarspring.Phase // Last phase that was handed out for the log.
-	recorded  bool              // The final phase is in the log.
-	hasRecord bool              // A progress record exists or is on its way.
-	size      float64           // Declared work of one occurrence, in thousandths of a core times seconds.
-	away      bool              // All tasks were transferred to other data centres.
+	workflow          *briarspring.Workflow
+	offset            uint64        // Of the submission.
+	submitted         time.Duration // By this process's clock.
+	steps             []*step       // Steps of all occurrences, one after the other.
+	tasks             []*task       // Tasks of all steps, by position.
+	cancelled         bool
+	phase             briarspring.Phase
+	publishedPhase    briarspring.Phase // Last phase handed out for the log.
+	finalPhaseStored  bool              // The final phase is in the log.
+	hasProgressRecord bool              // A progress record is stored or on its way.
+	size              float64           // Declared work of one occurrence, in millicore seconds.
+	transferredAway   bool              // All tasks were transferred to other data centres.
 }
 
-// step is a group of equal tasks of a job.
+// step is a group of identical tasks of a job.
 type step struct {
 	job        *job
 	occurrence int
 	number     int
-	due        time.Duration // By this process's clock; nothing starts before.
+	due        time.Duration // By this process's clock; no task starts earlier.
 	tasks      []*task
-	left       int // Tasks that are not done.
-	waiting    int // Tasks that are not done and have no run.
-	spread     map[*worker]int
-	within     string // Rack to which the placement of a gang is bound at the moment.
+	unfinished int             // Tasks that are not done.
+	waiting    int             // Tasks that are not done and have no run.
+	spread     map[*worker]int // Live runs by worker.
+	rack       string          // Rack to which the placement of a gang is limited at the moment.
 }
 
 // task is one task of a step.
 type task struct {
-	step       *step
-	index      int
-	position   int
-	mine       bool // This data centre runs it.
-	moves      int  // Transfers of it that are recorded, as far as they were read.
-	leaving    bool // One more is on its way.
-	done       bool
-	failedRuns []uint32
-	lastRun    uint32
-	checkpoint string
-	runs       []*run
-	readySince time.Duration
-	avoid      *worker // Where it failed last.
+	step         *step
+	index        int
+	position     int
+	local        bool // This data centre runs it.
+	transfers    int  // Recorded transfers of the task that were read so far.
+	transferring bool // Another transfer is on its way.
+	done         bool
+	failedRuns   []uint32
+	lastRun      uint32
+	checkpoint   string
+	runs         []*run
+	readySince   time.Duration
+	avoidWorker  *worker // Worker of its last failure.
 }
 
 func newJob(now, age time.Duration, w *briarspring.Workflow, offset uint64) *job {
@@ -67,12 +67,12 @@
 	return j
 }
 
-// addStep adds a step with its tasks.
+// addStep appends a step and creates its tasks.
 func (j *job) addStep(s *step, now time.Duration) {
-	s.left = s.spec().Tasks
-	s.waiting = s.left
-	for i := range s.left {
-		t := &task{step: s, index: i, position: len(j.tasks), mine: true, readySince: max(now, s.due)}
+	s.unfinished = s.spec().Tasks
+	s.waiting = s.unfinished
+	for i := range s.unfinished {
+		t := &task{step: s, index: i, position: len(j.tasks), local: true, readySince: max(now, s.due)}
 		s.tasks = append(s.tasks, t)
 		j.tasks = append(j.tasks, t)
 	}
@@ -87,25 +87,25 @@
 // spec returns the declared properties of the step.
 func (s *step) spec() *briarspring.Step { return &s.job.workflow.Steps[s.number] }
 
-// ready reports whether the step's occurrence is due and all steps before it are
-// done.
+// ready reports whether the step's occurrence is due and all steps it depends
+// on are done.
 func (s *step) ready(now time.Duration) bool {
 	if now < s.due {
 		return false
 	}
 	for _, a := range s.spec().After {
-		if s.job.stepOf(s.occurrence, a).left > 0 {
+		if s.job.stepOf(s.occurrence, a).unfinished > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// over reports whether no task of the job may start any more.
-func (j *job) over() bool { return j.cancelled || j.away || j.phase.Final() }
+// inactive reports whether no task of the job may start any more.
+func (j *job) inactive() bool { return j.cancelled || j.transferredAway || j.phase.Final() }
 
-// alive returns the number of runs that may be alive.
-func (j *job) alive() int {
+// liveRuns returns the number of runs that may be alive.
+func (j *job) liveRuns() int {
 	n := 0
 	for _, t := range j.tasks {
 		n += len(t.runs)
@@ -113,29 +113,30 @@
 	return n
 }
 
-// work returns the declared work that is left of one occurrence, in thousandths
-// of a core times seconds.
-func (j *job) work(occurrence int) int64 {
+// unfinishedWork returns the declared work of the unfinished tasks of an
+// occurrence, in millicore seconds.
+func (j *job) unfinishedWork(occurrence int) int64 {
 	var sum int64
 	for i := range j.workflow.Steps {
 		s := j.stepOf(occurrence, i)
-		sum += int64(s.left) * s.spec().Resources.MilliCPU() * s.spec().Estimate.Milliseconds() / 1000
+		sum += int64(s.unfinished) * s.spec().Resources.MilliCPU() * s.spec().Estimate.Milliseconds() / 1000
 	}
 	return sum
 }
 
-// dueWork returns the declared work that is left of all occurrences that are due.
-func (j *job) dueWork(now time.Duration) int64 {
+// unfinishedDueWork returns the unfinished work of all occurrences that are
+// due.
+func (j *job) unfinishedDueWork(now time.Duration) int64 {
 	var sum int64
 	for k := range j.workflow.Occurrences() {
 		if now >= j.stepOf(k, 0).due {
-			sum += j.work(k)
+			sum += j.unfinishedWork(k)
 		}
 	}
 	return sum
 }
 
-// ref returns the task's name.
+// ref returns the task's reference.
 func (t *task) ref() briarspring.TaskRef {
 	return briarspring.TaskRef{
 		Workflow: t.step.job.workflow.ID, Occurrence: t.step.occurrence, Step: t.step.number, Index: t.index,
@@ -143,28 +144,28 @@
 }
 
 // pending reports whether the task needs a run.
-func (t *task) pending() bool { return t.mine && !t.leaving && !t.done && len(t.runs) == 0 }
+func (t *task) pending() bool { return t.local && !t.transferring && !t.done && len(t.runs) == 0 }
 
 // failures returns how many runs of the task have failed.
 func (t *task) failures() int { return len(t.failedRuns) }
 
-// fail counts a failed run. An end may be listed again to a new owner, so each
-// run counts once.
-func (t *task) fail(run uint32) {
+// countFailure counts a failed run. A worker may list an end again to a new
+// owner, so each run counts once.
+func (t *task) countFailure(run uint32) {
 	if slices.Contains(t.failedRuns, run) {
 		return
 	}
 	t.failedRuns = append(t.failedRuns, run)
 	if t.step.spec().Gang {
-		// A gang fails as a whole.
+		// A failed member fails the whole gang.
 		for _, o := range t.step.tasks {
-			o.fail(run)
+			o.countFailure(run)
 		}
 	}
 }
 
-// started notes a run of the task.
-func (t *task) started(r *run) {
+// attachRun records that a run of the task may be alive.
+func (t *task) attachRun(r *run) {
 	if len(t.runs) == 0 {
 		t.step.waiting--
 	}
@@ -173,8 +174,8 @@
 	t.step.spread[r.worker]++
 }
 
-// stopped notes that a run of the task is alive no more.
-func (t *task) stopped(now time.Duration, r *run) {
+// detachRun records that a run of the task is not alive any more.
+func (t *task) detachRun(now time.Duration, r *run) {
 	for i, other := range t.runs {
 		if other != r {
 			continue
@@ -191,82 +192,83 @@
 	}
 }
 
-// Submit takes over a workflow whose submission stands at an offset, with what
-// is recorded of its tasks. Its age is the time since it was accepted; place is
-// nil for one of which no task was transferred. Workflows that are known already
-// are left alone.
+// Submit adds a workflow whose submission is at offset, with the recorded
+// progress of its tasks. Its age is the time since it was accepted. place is
+// nil if no task was transferred. A workflow that is already known is left as
+// it is.
 func (d *Dispatcher) Submit(now, age time.Duration, w *briarspring.Workflow, offset uint64, progress []briarspring.TaskProgress, place func(position int) Place) {
 	d.now = now
 	if d.jobs[w.ID] != nil {
 		return
 	}
 	j := newJob(now, age, w, offset)
-	j.size = float64(j.work(0))
+	j.size = float64(j.unfinishedWork(0))
 	if mean, ok := d.meanSize[w.Queue]; ok {
-		d.meanSize[w.Queue] = mean + meanRate*(j.size-mean)
+		d.meanSize[w.Queue] = mean + meanSizeRate*(j.size-mean)
 	} else {
 		d.meanSize[w.Queue] = j.size
 	}
 	d.jobs[w.ID] = j
-	d.changed = true
+	d.needsPlan = true
 	if place != nil {
-		j.settleIn(place)
+		j.setPlaces(place)
 	}
 	for _, p := range progress {
-		d.resume(j, p)
+		d.restoreProgress(j, p)
 	}
-	d.settle(j)
+	d.updatePhase(j)
 }
 
-// resume takes over a task that has run before.
-func (d *Dispatcher) resume(j *job, p briarspring.TaskProgress) {
+// restoreProgress restores the recorded state of a task that has run before.
+func (d *Dispatcher) restoreProgress(j *job, p briarspring.TaskProgress) {
 	if p.Position >= len(j.tasks) {
-		d.logger.Warn("progress of a task that does not exist", "workflow", j.workflow.ID, "position", p.Position)
+		d.logger.Warn("progress record of a task that does not exist", "workflow", j.workflow.ID, "position", p.Position)
 		return
 	}
-	j.hasRecord = true
+	j.hasProgressRecord = true
 	t := j.tasks[p.Position]
 	t.failedRuns = slices.Clone(p.FailedRuns)
 	t.lastRun = p.Run
 	t.checkpoint = p.Checkpoint
 	if p.Done {
-		t.finish(d.now)
+		t.markDone(d.now)
 		return
 	}
 	if p.Worker == "" {
 		return
 	}
 	w := d.worker(p.Worker)
-	w.early = w.early || !w.fenced
+	w.inherited = w.inherited || !w.fenced
 	d.addRun(&run{
 		ref: briarspring.RunRef{Task: t.ref(), Run: p.Run}, task: t, worker: w, state: runUnknown, pace: fullSpeed,
 		paceSent: fullSpeed, since: d.now,
 	})
 }
 
-// finish marks the task done. Steps that waited for it wait for workers from now
-// on.
-func (t *task) finish(now time.Duration) {
+// markDone marks the task done. Steps that become ready by this start waiting
+// for workers now.
+func (t *task) markDone(now time.Duration) {
 	if t.done {
 		return
 	}
 	t.done = true
-	t.step.left--
+	t.step.unfinished--
 	if len(t.runs) == 0 {
 		t.step.waiting--
 	}
 	if t.step.spec().Gang {
-		// One end that is done stands for all.
+		// One finished member finishes the whole gang.
 		for _, o := range t.step.tasks {
-			o.finish(now)
+			o.markDone(now)
 		}
 	}
-	if t.step.left == 0 {
+	if t.step.unfinished == 0 {
 		t.step.job.markReady(t.step, now)
 	}
 }
 
-// markReady notes since when the tasks of the steps after one could start.
+// markReady sets the ready time of the tasks whose step became ready when
+// another step finished.
 func (j *job) markReady(done *step, now time.Duration) {
 	for i := range j.workflow.Steps {
 		s := j.stepOf(done.occurrence, i)
@@ -279,7 +281,7 @@
 	}
 }
 
-// Cancel ends a workflow.
+// Cancel stops the runs of a workflow and starts no more of its tasks.
 func (d *Dispatcher) Cancel(now time.Duration, id briarspring.WorkflowID) {
 	d.now = now
 	j := d.jobs[id]
@@ -287,12 +289,12 @@
 		return
 	}
 	j.cancelled = true
-	d.changed = true
-	d.logger.Info("workflow cancelled", "workflow", id, "runs", j.alive(), "phase", j.phase.String())
+	d.needsPlan = true
+	d.logger.Info("workflow cancelled", "workflow", id, "runs", j.liveRuns(), "phase", j.phase.String())
 	d.stopAll(j)
 }
 
-// Finished tells that a workflow's final phase is in the log.
+// Finished records that a workflow's final phase is in the log.
 func (d *Dispatcher) Finished(now time.Duration, id briarspring.WorkflowID, phase briarspring.Phase) {
 	d.now = now
 	j := d.jobs[id]
@@ -303,31 +305,31 @@
 		j.phase = phase
 		d.stopAll(j)
 	}
-	j.published = j.phase
-	j.recorded = true
-	d.changed = true
+	j.publishedPhase = j.phase
+	j.finalPhaseStored = true
+	d.needsPlan = true
 }
 
-// Knows reports whether a workflow is held here.
+// Knows reports whether the dispatcher holds a workflow.
 func (d *Dispatcher) Knows(id briarspring.WorkflowID) bool { return d.jobs[id] != nil }
 
 func (d *Dispatcher) stopAll(j *job) {
 	for _, t := range j.tasks {
 		for _, r := range t.runs {
-			d.stop(r, "workflow is over")
+			d.stop(r, "workflow finished or cancelled")
 		}
 	}
 }
 
-// settle works out the phase of a job after one of its tasks changed.
-func (d *Dispatcher) settle(j *job) {
-	if j.over() {
+// updatePhase recomputes the phase of a job after a change of one of its tasks.
+func (d *Dispatcher) updatePhase(j *job) {
+	if j.inactive() {
 		return
 	}
 	phase := j.phase
 	left := 0
 	for _, s := range j.steps {
-		left += s.left
+		left += s.unfinished
 	}
 	for _, t := range j.tasks {
 		if !t.done && !t.step.spec().Lasting && j.workflow.MaxAttempts > 0 && t.failures() >= j.workflow.MaxAttempts && len(t.runs) == 0 {
@@ -345,9 +347,9 @@
 		return
 	}
 	j.phase = phase
-	d.changed = true
+	d.needsPlan = true
 	if phase.Final() {
-		d.logger.Info("workflow over", "workflow", j.workflow.ID, "phase", phase.String(), "age-ms", (d.now - j.submitted).Milliseconds(),
+		d.logger.Info("workflow finished", "workflow", j.workflow.ID, "phase", phase.String(), "age-ms", (d.now - j.submitted).Milliseconds(),
 			"objective-ms", j.workflow.Objective().Milliseconds())
 		d.stopAll(j)
 	}
--- /dev/null
+++ b/dispatcher/lease.go
@@ -0,0 +1,380 @@
+package dispatcher
+
+import (
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	"briarspring"
+)
+
+const (
+	// unansweredDelay is the time from an unanswered start to the stop that
+	// bars it; a slow worker lists the run in the meantime.
+	unansweredDelay = 250 * time.Millisecond
+	// stopRetryInterval is the time after which a stop without effect is sent
+	// again; above the longest stated stop time of 0.9 s.
+	stopRetryInterval = 1200 * time.Millisecond
+)
+
+// Hold returns the next lease renewal for a worker.
+func (d *Dispatcher) Hold(now time.Duration, id string) (briarspring.HoldRequest, bool) {
+	w := d.workers[id]
+	if w == nil {
+		return briarspring.HoldRequest{}, false
+	}
+	h := briarspring.HoldRequest{Token: d.config.Token}
+	if !w.fenced {
+		// No inherited workflow starts before every worker has answered, so the
+		// first renewal does not wait for the end of a run.
+		return h, true
+	}
+	h.Wait = w.renewalWait()
+	if w.renewalFailed {
+		// Extending the lease without an answer would keep it from ever ending.
+		h.Until = w.leaseUntil
+		return h, true
+	}
+	h.Until = w.clockNow(now) + d.config.Lease
+	w.leaseUntil = max(w.leaseUntil, h.Until)
+	h.EndsBefore = w.lastEndStored
+	return h, true
+}
+
+// HoldLost records that a renewal failed. The worker may have restarted, and
+// then numbers its ends anew. HoldLost reports whether this is the first
+// failure in a row.
+func (d *Dispatcher) HoldLost(now time.Duration, id string, v briarspring.Verdict) bool {
+	d.now = now
+	w := d.workers[id]
+	if w == nil {
+		return false
+	}
+	if v == briarspring.VerdictSuperseded {
+		d.superseded = true
+	}
+	first := !w.renewalFailed
+	w.renewalFailed = true
+	return first
+}
+
+// Unstored reports whether a worker has reported ends that are not in the log
+// yet.
+func (d *Dispatcher) Unstored(id string) bool {
+	w := d.workers[id]
+	return w != nil && w.lastEndSeen > w.lastEndStored
+}
+
+// Held processes a worker's reply to a renewal that was sent at sent.
+func (d *Dispatcher) Held(now, sent time.Duration, id string, reply briarspring.HoldReply) {
+	d.now = now
+	w := d.workers[id]
+	if w == nil {
+		return
+	}
+	if w.incarnation != reply.Born {
+		d.resetIncarnation(w, reply)
+	}
+	w.renewalFailed = false
+	if !w.fenced {
+		d.logger.Info("worker accepted this owner's token", "worker", w.id, "token", d.config.Token, "running", len(reply.Running), "ended", len(reply.Ended))
+		d.needsPlan = true
+	}
+	w.fenced = true
+	w.clock = reply.Clock
+	w.clockAt = now
+	w.leaseUntil = max(w.leaseUntil, reply.Clock)
+	if now-w.answeredAt >= silenceLimit {
+		d.needsPlan = true
+	}
+	w.answeredAt = now
+	for _, e := range reply.Ended {
+		if e.Number > w.lastEndSeen {
+			w.lastEndSeen = e.Number
+			d.handleEnd(w, e)
+		}
+	}
+	listed := map[briarspring.RunRef]bool{}
+	for _, t := range reply.Running {
+		listed[t.Run] = true
+		d.handleRunning(w, sent, t)
+	}
+	d.checkUnlisted(w, sent, listed)
+	d.stopStalled(w)
+	d.endProbe(w)
+	for ref := range w.orphans {
+		if !listed[ref] {
+			delete(w.orphans, ref)
+			d.needsPlan = true
+		}
+	}
+	d.adjustPaces(w)
+}
+
+// resetIncarnation resets what was known of the worker before it restarted. Its
+// runs are kept until a list without them shows that they are gone.
+func (d *Dispatcher) resetIncarnation(w *worker, reply briarspring.HoldReply) {
+	first := w.incarnation == 0
+	if !first {
+		d.logger.Warn("worker restarted", "worker", w.id, "born", reply.Born, "before", w.incarnation, "runs", len(w.runs))
+	}
+	w.incarnation = reply.Born
+	w.lastEndSeen = 0
+	w.lastEndStored = 0
+	w.failureStreak = 0
+	// Renewals computed with the clock before the restart may have reached the
+	// worker after it, when its clock had started anew.
+	if !first {
+		w.leaseUntil = reply.Clock + d.config.MaxLease
+	}
+}
+
+// handleEnd processes the end of a run.
+func (d *Dispatcher) handleEnd(w *worker, e briarspring.EndedTask) {
+	j := d.jobs[e.Run.Task.Workflow]
+	t := j.task(e.Run.Task)
+	if t == nil {
+		d.logger.Warn("end of a run of an unknown task", "worker", w.id, "workflow", e.Run.Task.Workflow, "step", e.Run.Task.Step, "index", e.Run.Task.Index)
+		return
+	}
+	r := w.runs[e.Run]
+	t.lastRun = max(t.lastRun, e.Run.Run)
+	d.markDirty(j)
+	level := hclog.Debug
+	if e.End != briarspring.RunDone && (r == nil || !r.stopping) {
+		level = hclog.Info
+	}
+	d.logger.Log(level, "run ended", "workflow", j.workflow.ID, "step", t.step.number, "index", t.index, "run", e.Run.Run,
+		"end", e.End.String(), "worker", w.id, "took-ms", r.age(d.now).Milliseconds())
+	if e.Checkpoint != "" {
+		t.saveCheckpoint(e.Checkpoint)
+	}
+	switch e.End {
+	case briarspring.RunDone:
+		d.counters.Done++
+		w.failureStreak = 0
+		d.learnRunTime(t, r)
+		t.markDone(d.now)
+	case briarspring.RunFailed:
+		d.counters.Failed++
+		t.countFailure(e.Run.Run)
+		t.avoidWorker = w
+		if r != nil && !r.stopping {
+			d.countWorkerFailure(w, r)
+		}
+	}
+	if r != nil {
+		d.removeRun(r)
+	}
+	if t.done {
+		for _, other := range t.runs {
+			d.stop(other, "another copy finished first")
+		}
+	}
+	d.updatePhase(j)
+}
+
+// age returns the time since a run was ordered, or zero for a nil run.
+func (r *run) age(now time.Duration) time.Duration {
+	if r == nil {
+		return 0
+	}
+	return now - r.since
+}
+
+// task returns the task for a reference, or nil if there is none.
+func (j *job) task(ref briarspring.TaskRef) *task {
+	if j == nil || ref.Step < 0 || ref.Step >= len(j.workflow.Steps) {
+		return nil
+	}
+	if ref.Occurrence < 0 || ref.Occurrence >= j.workflow.Occurrences() {
+		return nil
+	}
+	tasks := j.stepOf(ref.Occurrence, ref.Step).tasks
+	if ref.Index < 0 || ref.Index >= len(tasks) {
+		return nil
+	}
+	return tasks[ref.Index]
+}
+
+// handleRunning processes the report that a run is alive.
+func (d *Dispatcher) handleRunning(w *worker, sent time.Duration, listed briarspring.RunningTask) {
+	r := w.runs[listed.Run]
+	if r == nil {
+		r = d.adopt(w, sent, listed)
+	}
+	if r == nil {
+		return
+	}
+	if r.state != runAlive {
+		r.state = runAlive
+		r.startAnsweredAt = d.now
+	}
+	if !r.listed {
+		r.listed = true
+		r.progressAt = d.now
+	}
+	if listed.Checkpoint != "" && listed.Checkpoint != r.checkpoint {
+		r.task.saveCheckpoint(listed.Checkpoint)
+	}
+	r.checkpoint = listed.Checkpoint
+	if r.progress != listed.Percent {
+		r.progress = listed.Percent
+		r.progressAt = d.now
+	}
+	r.usage = listed.Usage
+	r.usageAt = d.now
+	if r.task.done || r.task.step.job.inactive() {
+		d.stop(r, "task finished or workflow ended")
+	}
+	if r.stopping && d.now-r.stopSentAt > stopRetryInterval {
+		d.sendStop(r)
+	}
+}
+
+// adopt takes over a run that an earlier owner started. A run of an unknown
+// task is stopped instead.
+func (d *Dispatcher) adopt(w *worker, sent time.Duration, listed briarspring.RunningTask) *run {
+	t := d.jobs[listed.Run.Task.Workflow].task(listed.Run.Task)
+	if t == nil {
+		stopAt, known := w.orphans[listed.Run]
+		if !known || d.now-stopAt > stopRetryInterval {
+			w.orphans[listed.Run] = d.now
+			d.logger.Warn("stopping unknown run", "worker", w.id, "workflow", listed.Run.Task.Workflow, "run", listed.Run.Run)
+			d.orders = append(d.orders, Order{
+				Kind: OrderStop, Worker: w.id, Address: w.entry.Address,
+				Stop: briarspring.StopOrder{Run: listed.Run, Token: d.config.Token},
+			})
+		}
+		return nil
+	}
+	for _, other := range t.runs {
+		if other.state == runUnknown && other.ref == listed.Run {
+			d.removeRun(other)
+			break
+		}
+	}
+	r := &run{
+		ref: listed.Run, task: t, worker: w, state: runAlive, since: d.now, startAnsweredAt: sent,
+		pace: fullSpeed, paceSent: fullSpeed,
+	}
+	d.addRun(r)
+	d.markDirty(t.step.job)
+	d.updatePhase(t.step.job)
+	return r
+}
+
+// checkUnlisted handles the runs that are missing from a worker's list. A run
+// whose start was answered before the list was requested has ended without a
+// report: the worker crashed or has dropped the end.
+func (d *Dispatcher) checkUnlisted(w *worker, sent time.Duration, listed map[briarspring.RunRef]bool) {
+	for ref, r := range w.runs {
+		if listed[ref] {
+			continue
+		}
+		switch {
+		case r.state == runUnknown:
+			d.markLost(r, "not listed by the recorded worker")
+		case r.state == runAlive && r.startAnsweredAt < sent:
+			d.markLost(r, "missing from the worker's list")
+		case r.state == runUnanswered && r.stopAnsweredAt != 0 && r.stopAnsweredAt < sent:
+			d.markLost(r, "stopped before it started")
+		case r.state == runUnanswered && w.clock > r.startBy+leaseMargin && r.startAnsweredAt < sent:
+			d.markLost(r, "start order expired")
+		case r.state == runUnanswered && !r.stopping && d.now-r.startAnsweredAt > unansweredDelay:
+			d.stop(r, "start was not answered")
+		case r.state == runUnanswered && r.stopping && d.now-r.stopSentAt > stopRetryInterval:
+			d.sendStop(r)
+		}
+	}
+}
+
+// markLost records that a run is not alive any more although no end was
+// reported.
+func (d *Dispatcher) markLost(r *run, why string) {
+	j := r.task.step.job
+	d.counters.Lost++
+	d.logger.Info("run lost", "workflow", j.workflow.ID, "step", r.task.step.number, "index", r.task.index,
+		"run", r.ref.Run, "worker", r.worker.id, "state", r.state.String(), "why", why)
+	d.removeRun(r)
+	d.markDirty(j)
+	d.updatePhase(j)
+}
+
+// stop orders the stop of a run, once.
+func (d *Dispatcher) stop(r *run, why string) {
+	if r.stopping {
+		return
+	}
+	r.stopping = true
+	d.counters.Stops++
+	d.logger.Info("stopping run", "workflow", r.ref.Task.Workflow, "step", r.ref.Task.Step, "index", r.ref.Task.Index,
+		"run", r.ref.Run, "worker", r.worker.id, "why", why)
+	d.sendStop(r)
+}
+
+func (d *Dispatcher) sendStop(r *run) {
+	r.stopSentAt = d.now
+	d.orders = append(d.orders, Order{
+		Kind: OrderStop, Worker: r.worker.id, Address: r.worker.entry.Address,
+		Stop: briarspring.StopOrder{Run: r.ref, Token: d.config.Token},
+	})
+}
+
+// expireLeases marks the runs lost on workers whose lease has certainly ended.
+func (d *Dispatcher) expireLeases() {
+	for _, w := range d.workersByID {
+		if len(w.runs) == 0 || d.now-w.answeredAt < silenceLimit {
+			continue
+		}
+		if !d.leaseEnded(w) {
+			continue
+		}
+		d.logger.Warn("worker's lease ended", "worker", w.id, "silent-ms", (d.now - w.answeredAt).Milliseconds(), "runs", len(w.runs), "fenced", w.fenced)
+		for _, r := range w.runs {
+			d.markLost(r, "the worker's lease ended")
+		}
+	}
+}
+
+// leaseEnded reports whether everything that was alive on a silent worker has
+// certainly ended.
+func (d *Dispatcher) leaseEnded(w *worker) bool {
+	at, ok := d.silentLeaseEnd(w)
+	return ok && d.now > at
+}
+
+// predecessorLeaseEnd returns the time at which all leases given by earlier
+// owners have certainly ended. It is valid once all of them are known to be
+// gone.
+func (d *Dispatcher) predecessorLeaseEnd() time.Duration {
+	return d.predecessorsGoneAt + time.Duration(float64(d.config.Lease)*(1+clockSkew)) + leaseMargin
+}
+
+// Silent returns the workers that do not answer, with the time left until all
+// their runs have certainly ended. Workers whose leases an earlier owner may
+// still renew are left out.
+func (d *Dispatcher) Silent(now time.Duration) []briarspring.SilentWorker {
+	var list []briarspring.SilentWorker
+	for _, w := range d.workersByID {
+		if w.fenced && now-w.answeredAt < silenceLimit {
+			continue
+		}
+		if at, ok := d.silentLeaseEnd(w); ok {
+			list = append(list, briarspring.SilentWorker{Worker: w.id, LeaseLeft: max(0, at-now)})
+		}
+	}
+	return list
+}
+
+// silentLeaseEnd returns the time at which the lease of a silent worker has
+// certainly ended, or false while an earlier owner may still renew it.
+func (d *Dispatcher) silentLeaseEnd(w *worker) (time.Duration, bool) {
+	if w.fenced {
+		return w.leaseEnd(), true
+	}
+	if at, ok := d.silentLeaseEnds[w.id]; ok {
+		return at, true
+	}
+	return d.predecessorLeaseEnd(), d.predecessorsGone
+}
--- a/dispatcher/load.go
+++ b/dispatcher/load.go
@@ -8,20 +8,23 @@
 )
 
 const (
-	// maxRooms bounds the images whose room is told to other data centres.
-	maxRooms = 32
-	// goodShare of full speed at which idle processors count as room.
-	goodShare = 0.7
-	// usualCores of a task, for which room is looked at.
-	usualCores = 2.0
+	// maxRoomImages limits the images whose room is reported to other data
+	// centres.
+	maxRoomImages = 32
+	// minRoomShare is the share of full speed from which idle processors count
+	// as room for an image.
+	minRoomShare = 0.7
+	// typicalCores is the size of the task for which room is computed.
+	typicalCores = 2.0
 )
 
-// Load returns the declared work that waits and the state of the processors.
+// Load returns the backlog of declared work and the free processors, as
+// reported to other data centres.
 func (d *Dispatcher) Load() briarspring.OwnerBeat {
 	b := briarspring.OwnerBeat{Token: d.config.Token, Rooms: map[string]int64{}}
-	waiting := d.waitingByImage()
-	for _, w := range d.order {
-		if !w.takesStarts(d.now) {
+	waiting := d.bestEffortDemand()
+	for _, w := range d.workersByID {
+		if !w.acceptsStarts(d.now) {
 			continue
 		}
 		b.Total += w.entry.Capacity.MilliCPU()
@@ -33,29 +36,29 @@
 		b.Rooms[i.image] -= i.cores
 	}
 	for _, j := range d.jobs {
-		if !j.over() && !j.workflow.Lasting() {
-			b.Backlog += j.dueWork(d.now)
+		if !j.inactive() && !j.workflow.Lasting() {
+			b.Backlog += j.unfinishedDueWork(d.now)
 		}
 	}
 	return b
 }
 
-// imageDemand is what tasks of an image that fill wait for.
+// imageDemand is the processor demand of waiting best-effort tasks of an image.
 type imageDemand struct {
 	image string
-	cores int64 // Thousandths.
+	cores int64 // In millicores.
 }
 
-// waitingByImage returns the images of tasks that fill, those with most waiting
-// first.
-func (d *Dispatcher) waitingByImage() []imageDemand {
+// bestEffortDemand returns the images of best-effort tasks, sorted by
+// descending demand.
+func (d *Dispatcher) bestEffortDemand() []imageDemand {
 	sums := map[string]int64{}
 	for _, j := range d.jobs {
-		if j.over() {
+		if j.inactive() {
 			continue
 		}
 		for _, s := range j.steps {
-			if spec := s.spec(); spec.Fills && s.left > 0 {
+			if spec := s.spec(); spec.Fills && s.unfinished > 0 {
 				sums[spec.Image] += 0
 				if s.ready(d.now) {
 					sums[spec.Image] += int64(s.waiting) * spec.Resources.MilliCPU()
@@ -65,33 +68,34 @@
 	}
 	list := make([]imageDemand, 0, len(sums))
 	for image, n := range sums {
-		d.imagesSeen[image] = true
+		d.bestEffortImages[image] = true
 		list = append(list, imageDemand{image: image, cores: n})
 	}
-	for image := range d.imagesSeen {
-		if _, ok := sums[image]; !ok && len(list) < maxRooms {
+	for image := range d.bestEffortImages {
+		if _, ok := sums[image]; !ok && len(list) < maxRoomImages {
 			list = append(list, imageDemand{image: image})
 		}
 	}
 	slices.SortFunc(list, func(a, b imageDemand) int {
 		return cmp.Or(cmp.Compare(b.cores, a.cores), cmp.Compare(a.image, b.image))
 	})
-	return list[:min(len(list), maxRooms)]
+	return list[:min(len(list), maxRoomImages)]
 }
 
-// addRooms adds a worker's idle processors for each image that could use them.
+// addRooms adds a worker's idle processors to the room of each image that could
+// use them.
 func (d *Dispatcher) addRooms(rooms map[string]int64, w *worker, images []imageDemand) {
 	idle := int64(w.idle())
 	if idle <= 0 {
 		return
 	}
-	var serving []Serving
-	var filling []Filling
+	var latency []Serving
+	var bestEffort []Filling
 	if d.config.Pacer != nil {
-		serving, filling = w.servingTasks(d.now), w.fillingTasks()
+		latency, bestEffort = w.latencyTasks(d.now), w.bestEffortTasks()
 	}
 	for _, i := range images {
-		if d.config.Pacer == nil || d.config.Pacer.Share(w.id, i.image, usualCores, serving, filling) >= goodShare {
+		if d.config.Pacer == nil || d.config.Pacer.Share(w.id, i.image, typicalCores, latency, bestEffort) >= minRoomShare {
 			rooms[i.image] += idle
 		}
 	}
--- a/dispatcher/order.go
+++ b/dispatcher/order.go
@@ -7,7 +7,7 @@
 	"briarspring"
 )
 
-// Answered takes the outcome of an order.
+// Answered processes a worker's verdict on an order.
 func (d *Dispatcher) Answered(now time.Duration, o Order, v briarspring.Verdict) {
 	d.now = now
 	if v == briarspring.VerdictSuperseded {
@@ -28,7 +28,7 @@
 		d.startAnswered(w, r, v)
 	case OrderStop:
 		if v == briarspring.VerdictDone || v == briarspring.VerdictBarred {
-			r.stopped = now
+			r.stopAnsweredAt = now
 		}
 	case OrderPace:
 		if v != briarspring.VerdictDone {
@@ -41,7 +41,7 @@
 	if r.state != runOrdered {
 		return
 	}
-	r.settledAt = d.now
+	r.startAnsweredAt = d.now
 	if v == briarspring.VerdictDone {
 		r.state = runAlive
 		if r.pace != r.paceSent {
@@ -53,56 +53,56 @@
 		"run", r.ref.Run, "worker", w.id, "verdict", v.String())
 	if v == briarspring.VerdictUnanswered {
 		d.counters.Doubts++
-		r.state = runDoubt
-		w.pausedUntil = d.now + orderPause
+		r.state = runUnanswered
+		w.pausedUntil = d.now + startPause
 		return
 	}
 	if v == briarspring.VerdictUnhealthy || v == briarspring.VerdictFull {
-		w.pausedUntil = d.now + orderPause
-		r.task.avoid = w
+		w.pausedUntil = d.now + startPause
+		r.task.avoidWorker = w
 	}
 	d.removeRun(r)
 	d.markDirty(r.task.step.job)
 	if v == briarspring.VerdictInvalid {
-		r.task.fail(r.ref.Run)
+		r.task.countFailure(r.ref.Run)
 	}
-	d.settle(r.task.step.job)
+	d.updatePhase(r.task.step.job)
 }
 
-// startAt orders a run that works at a share of full speed from the start.
+// startAt orders the next run of a task at a share of full speed.
 func (d *Dispatcher) startAt(t *task, w *worker, share float64) {
 	d.setPace(d.start(t, w), percentOf(share))
 }
 
-// percentOf returns a share of full speed in percent.
+// percentOf converts a share of full speed to percent.
 func percentOf(share float64) int { return int(math.Round(fullSpeed * share)) }
 
 // start orders the next run of a task on a worker.
 func (d *Dispatcher) start(t *task, w *worker) *run { return d.startRun(t, w, t.lastRun+1) }
 
-// startRun orders a run of a task on a worker.
+// startRun orders a run of a task with a given number on a worker.
 func (d *Dispatcher) startRun(t *task, w *worker, number uint32) *run {
 	r := &run{
 		ref:  briarspring.RunRef{Task: t.ref(), Run: number},
 		task: t, worker: w, state: runOrdered, since: d.now,
-		until: w.clockNow(d.now) + startWindow, pace: fullSpeed, paceSent: fullSpeed,
+		startBy: w.clockNow(d.now) + startWindow, pace: fullSpeed, paceSent: fullSpeed,
 	}
-	if w.streak >= failStreak {
-		w.probing = r
+	if w.failureStreak >= quarantineFailures {
+		w.probe = r
 	}
 	waited := d.now - t.readySince
 	d.addRun(r)
 	d.counters.Starts++
-	w.until = max(w.until, r.until)
+	w.leaseUntil = max(w.leaseUntil, r.startBy)
 	j := t.step.job
 	d.markDirty(j)
-	d.settle(j)
+	d.updatePhase(j)
 	d.logger.Info("start", "workflow", j.workflow.ID, "step", t.step.number, "index", t.index, "run", r.ref.Run,
 		"worker", w.id, "waited-ms", waited.Milliseconds(), "free", w.free().String(), "checkpoint", t.checkpoint != "")
 	d.orders = append(d.orders, Order{
 		Kind: OrderStart, Worker: w.id, Address: w.entry.Address,
 		Start: briarspring.StartOrder{
-			Run: r.ref, Specification: j.workflow.Specification, Until: r.until, Token: d.config.Token, Checkpoint: t.checkpoint,
+			Run: r.ref, Specification: j.workflow.Specification, Until: r.startBy, Token: d.config.Token, Checkpoint: t.checkpoint,
 		},
 	})
 	return r
--- a/dispatcher/pace.go
+++ b/dispatcher/pace.go
@@ -10,38 +10,40 @@
 )
 
 const (
-	// paceInterval is the least time between two decisions on a worker's pace; the
-	// platform averages tails over half a second.
+	// paceInterval is the shortest time between two pace decisions for a
+	// worker; the platform averages tail latencies over half a second.
 	paceInterval = 200 * time.Millisecond
-	// usualWait of a renewal for an end; tails are read as often.
-	usualWait = 500 * time.Millisecond
-	// pressedWait is the same on a worker where a task presses others; tails rise
-	// to several times their target within half a second.
-	pressedWait = 220 * time.Millisecond
+	// normalWait is how long a renewal waits for the end of a run; tail
+	// latencies are read at the same rate.
+	normalWait = 500 * time.Millisecond
+	// interferenceWait is the same on a worker with interference; there, tail
+	// latencies rise to several times their target within half a second.
+	interferenceWait = 220 * time.Millisecond
 )
 
-// wait returns how long a renewal waits for an end.
-func (w *worker) wait() time.Duration {
-	if w.pressed {
-		return pressedWait
+// renewalWait returns how long a renewal waits for the end of a run.
+func (w *worker) renewalWait() time.Duration {
+	if w.interference {
+		return interferenceWait
 	}
-	return usualWait
+	return normalWait
 }
 
-// pace has the pacer look at a worker and orders what it decides.
-func (d *Dispatcher) pace(w *worker) {
-	if d.config.Pacer == nil || d.now-w.paceAt < paceInterval {
+// adjustPaces has the pacer decide on the best-effort tasks of a worker and
+// orders the changes.
+func (d *Dispatcher) adjustPaces(w *worker) {
+	if d.config.Pacer == nil || d.now-w.pacesDecidedAt < paceInterval {
 		return
 	}
-	w.paceAt = d.now
-	serving, filling := w.servingTasks(d.now), w.fillingTasks()
+	w.pacesDecidedAt = d.now
+	latency, bestEffort := w.latencyTasks(d.now), w.bestEffortTasks()
 	if d.logger.IsDebug() {
-		d.logger.Debug("reading", "worker", w.id, "serving", fmt.Sprint(serving), "filling", fmt.Sprint(filling), "uses", w.uses())
+		d.logger.Debug("reading", "worker", w.id, "serving", fmt.Sprint(latency), "filling", fmt.Sprint(bestEffort), "uses", w.describeUsage())
 	}
-	w.pressed = slices.ContainsFunc(filling, func(f Filling) bool {
-		return f.Percent > 0 && d.config.Pacer.Presses(f.Image, serving)
+	w.interference = slices.ContainsFunc(bestEffort, func(f Filling) bool {
+		return f.Percent > 0 && d.config.Pacer.Presses(f.Image, latency)
 	})
-	for _, p := range d.config.Pacer.Decide(d.now, w.id, serving, filling) {
+	for _, p := range d.config.Pacer.Decide(d.now, w.id, latency, bestEffort) {
 		r := w.runs[p.Run]
 		if r == nil {
 			continue
@@ -53,44 +55,47 @@
 			d.sendPace(r)
 		}
 	}
-	d.moveSlowed(w)
+	d.stopSlowed(w)
 }
 
 const (
-	// slowPercent is the pace from which a task had better wait for another
-	// worker: it holds memory that others could use.
+	// slowPercent is the pace in percent up to which a task had better wait for
+	// another worker; it holds memory that others could use.
 	slowPercent = 20
-	// slowTime at that pace before a task with checkpoints gives way; a restart
-	// costs 0.25 to 0.6 s.
-	slowTime = 900 * time.Millisecond
-	// moveShare of full speed elsewhere makes a move worth it.
+	// slowLimit is how long a task with checkpoints stays at that pace before
+	// it is stopped; a restart costs 0.25 to 0.6 s.
+	slowLimit = 900 * time.Millisecond
+	// moveShare is the share of full speed elsewhere that makes a move worth
+	// it.
 	moveShare = 0.7
-	// slowTimeUnsaved is the same for a task that loses its work.
-	slowTimeUnsaved = 2500 * time.Millisecond
-	// unsavedPercent of progress up to which a task without checkpoints gives way.
-	unsavedPercent = 30
+	// slowLimitUnsaved is the limit for a task without checkpoints, which loses
+	// its work.
+	slowLimitUnsaved = 2500 * time.Millisecond
+	// maxUnsavedPercent is the progress up to which a task without checkpoints
+	// is stopped.
+	maxUnsavedPercent = 30
 )
 
-// moveSlowed stops tasks that hardly get on, so that they start again where they
-// press nothing.
-func (d *Dispatcher) moveSlowed(w *worker) {
+// stopSlowed stops best-effort tasks that make little progress, so that they
+// start again where they interfere with nothing.
+func (d *Dispatcher) stopSlowed(w *worker) {
 	for _, r := range w.runs {
 		spec := r.task.step.spec()
 		if !spec.Fills || r.stopping || r.pace > slowPercent || r.state != runAlive {
 			continue
 		}
 		slowed := d.now - r.slowedAt
-		if spec.Checkpoints && slowed < slowTime || !spec.Checkpoints && (slowed < slowTimeUnsaved || r.percent > unsavedPercent) {
+		if spec.Checkpoints && slowed < slowLimit || !spec.Checkpoints && (slowed < slowLimitUnsaved || r.progress > maxUnsavedPercent) {
 			continue
 		}
-		if r.task.step.job.alive() == 1 {
-			// Nothing else of its workflow runs, so it stays unless there is a better
-			// place.
-			if other, share := d.bestFilling(r.task); other == nil || other == w || share < moveShare {
+		if r.task.step.job.liveRuns() == 1 {
+			// It is the only run of its workflow, so it stays unless another worker
+			// is better.
+			if other, share := d.cheapestBestEffort(r.task); other == nil || other == w || share < moveShare {
 				continue
 			}
 		}
-		d.stop(r, "gives way to tasks that press less")
+		d.stop(r, "slowed too long by interference")
 	}
 }
 
@@ -104,16 +109,16 @@
 		r.slowedAt = d.now
 	}
 	r.pace = percent
-	r.pacedAt = d.now
-	weight := r.task.step.spec().Resources.MilliCPU() * int64(percent) / fullSpeed
-	r.worker.filling += weight - r.weight
-	r.weight = weight
-	d.changed = true
+	r.paceChangedAt = d.now
+	cpu := r.task.step.spec().Resources.MilliCPU() * int64(percent) / fullSpeed
+	r.worker.bestEffortCPU += cpu - r.bestEffortCPU
+	r.bestEffortCPU = cpu
+	d.needsPlan = true
 }
 
 func (d *Dispatcher) sendPace(r *run) {
 	r.paceSent = r.pace
-	r.paceAt = d.now
+	r.paceSentAt = d.now
 	d.counters.Paces++
 	o := Order{Kind: OrderPace, Worker: r.worker.id, Address: r.worker.entry.Address}
 	o.Pace.Run = r.ref
@@ -122,11 +127,12 @@
 	d.orders = append(d.orders, o)
 }
 
-// staleReading is the age from which a tail says nothing about the present.
+// staleReading is the age from which a tail latency is ignored.
 const staleReading = 1500 * time.Millisecond
 
-// servingTasks returns the lasting tasks with a target on a worker.
-func (w *worker) servingTasks(now time.Duration) []Serving {
+// latencyTasks returns the long-running tasks with a latency target on a
+// worker.
+func (w *worker) latencyTasks(now time.Duration) []Serving {
 	var list []Serving
 	for _, r := range w.runs {
 		spec := r.task.step.spec()
@@ -142,8 +148,8 @@
 	return list
 }
 
-// fillingTasks returns the tasks that fill on a worker.
-func (w *worker) fillingTasks() []Filling {
+// bestEffortTasks returns the best-effort tasks on a worker.
+func (w *worker) bestEffortTasks() []Filling {
 	var list []Filling
 	for _, r := range w.runs {
 		spec := r.task.step.spec()
@@ -151,7 +157,7 @@
 			continue
 		}
 		list = append(list, Filling{
-			Run: r.ref, Image: spec.Image, Cores: float64(spec.Resources.MilliCPU()) / briarspring.MilliCPUPerCore, Used: r.usage / briarspring.MilliCPUPerCore, Percent: r.pace, Progress: r.percent,
+			Run: r.ref, Image: spec.Image, Cores: float64(spec.Resources.MilliCPU()) / briarspring.MilliCPUPerCore, Used: r.usage / briarspring.MilliCPUPerCore, Percent: r.pace, Progress: r.progress,
 		})
 	}
 	slices.SortFunc(list, func(a, b Filling) int {
@@ -164,12 +170,13 @@
 	return list
 }
 
-// uses returns the processors that other than lasting tasks use, for logs.
-func (w *worker) uses() string {
+// describeUsage formats the usage and progress of all but long-running tasks,
+// for logs.
+func (w *worker) describeUsage() string {
 	var list []string
 	for _, r := range w.runs {
 		if !r.task.step.spec().Lasting {
-			list = append(list, fmt.Sprintf("%s:%.2f/%d%%", r.task.step.spec().Image, r.usage, r.percent))
+			list = append(list, fmt.Sprintf("%s:%.2f/%d%%", r.task.step.spec().Image, r.usage, r.progress))
 		}
 	}
 	slices.Sort(list)
--- a/dispatcher/plan.go
+++ b/dispatcher/plan.go
@@ -9,99 +9,101 @@
 )
 
 const (
-	// planInterval is the longest time between two plans; times pass without
-	// any event, such as the end of a pause.
+	// planInterval is the longest time between two plans; deadlines such as the
+	// end of a pause pass without an event.
 	planInterval = 100 * time.Millisecond
-	// servingShare of its reservation is what a lasting task is expected to
-	// use; the platform's day files state 0.42 with a swing of a half.
-	servingShare = 0.45
-	// fillLimit is how far declared processors of tasks that fill may exceed
-	// what is expected to be idle.
-	fillLimit = 1.0
-	// estimateRate is the share of an error that one run corrects in the learned
+	// longRunningUsage is the share of its reservation that a long-running task
+	// is expected to use; the platform's day files state 0.42 with a swing of
+	// one half.
+	longRunningUsage = 0.45
+	// bestEffortLimit is how many idle processors a best-effort task needs, as
+	// a multiple of those it declares.
+	bestEffortLimit = 1.0
+	// ratioRate is the share of the error that one run corrects in the learned
 	// ratio of run time to estimate.
-	estimateRate = 0.05
-	// maxRatio of run time to estimate that one run counts for, so that a run on a
-	// standing worker does not outweigh hundreds.
+	ratioRate = 0.05
+	// maxRatio caps the ratio of run time to estimate of one run, so that a run
+	// on a stalled worker does not outweigh hundreds.
 	maxRatio = 10
 )
 
-// averages holds the learned ratio of run time to declared time by queue.
-type averages map[string]float64
+// runTimeRatios holds the learned ratio of run time to estimate by queue.
+type runTimeRatios map[string]float64
 
-// learnTime corrects the ratio of a queue after a run that is done.
-func (d *Dispatcher) learnTime(t *task, r *run) {
+// learnRunTime updates the ratio of a queue after a successful run.
+func (d *Dispatcher) learnRunTime(t *task, r *run) {
 	estimate := t.step.spec().Estimate
-	if r == nil || estimate <= 0 || r.paceAt != 0 {
+	if r == nil || estimate <= 0 || r.paceSentAt != 0 {
 		return
 	}
 	queue := t.step.job.workflow.Queue
-	ratio, ok := d.averages[queue]
+	ratio, ok := d.ratios[queue]
 	if !ok {
 		ratio = 1
 	}
 	measured := min(float64(d.now-r.since)/float64(estimate), maxRatio)
-	d.averages[queue] = ratio + estimateRate*(measured-ratio)
+	d.ratios[queue] = ratio + ratioRate*(measured-ratio)
 }
 
-// expected returns the expected time of the chain of steps from a step on.
-func (d *Dispatcher) expected(j *job, step int) time.Duration {
-	ratio, ok := d.averages[j.workflow.Queue]
+// expectedChainTime returns the expected time of the chain of steps that starts
+// with a step.
+func (d *Dispatcher) expectedChainTime(j *job, step int) time.Duration {
+	ratio, ok := d.ratios[j.workflow.Queue]
 	if !ok {
 		ratio = 1
 	}
 	return time.Duration(ratio * float64(j.workflow.Chain(step)))
 }
 
-// Plan decides what is to start now, and returns all orders that are due.
+// Plan decides which tasks start now and returns all orders that are due.
 func (d *Dispatcher) Plan(now time.Duration) []Order {
 	d.now = now
-	d.lapses()
-	if d.changed {
-		d.changed = false
+	d.expireLeases()
+	if d.needsPlan {
+		d.needsPlan = false
 		d.assign()
-		d.clearDraining()
+		d.drainWorkers()
 	}
 	orders := d.orders
 	d.orders = nil
 	return orders
 }
 
-// Tick makes the next plan look at everything again.
-func (d *Dispatcher) Tick() { d.changed = true }
+// Tick makes the next call of Plan recompute all assignments.
+func (d *Dispatcher) Tick() { d.needsPlan = true }
 
-// PlanInterval is the longest time between two plans.
+// PlanInterval returns the longest time between two plans.
 func PlanInterval() time.Duration { return planInterval }
 
-// candidate is a step with tasks that wait.
+// candidate is a step with waiting tasks.
 type candidate struct {
-	step  *step
-	slack time.Duration // To the objective, after the work that is expected.
-	price float64       // Work that is left for each unit of what finishing it is worth.
+	step         *step
+	slack        time.Duration // Time to the objective minus the expected time of the work left.
+	workPerValue float64       // Work left per unit of value of the workflow.
 }
 
 // assign starts waiting tasks on workers.
 func (d *Dispatcher) assign() {
-	if d.out || !d.listed {
+	if d.outOfService || !d.workersListed {
 		return
 	}
-	open := d.open()
-	var reserved, filling []candidate
+	mayStartInherited := d.inheritedMayStart()
+	var reserved, bestEffort []candidate
 	for _, j := range d.jobs {
-		if j.over() || !open && d.inherited(j) {
+		if j.inactive() || !mayStartInherited && d.inherited(j) {
 			continue
 		}
 		for _, s := range j.steps {
 			if s.spec().Gang {
-				d.breakPartial(s)
+				d.stopPartialGang(s)
 			}
 			if s.waiting == 0 || !s.ready(d.now) {
 				continue
 			}
-			c := candidate{step: s, slack: s.due + j.workflow.Objective() - d.now - d.expected(j, s.number)}
-			c.price = d.price(s, c.slack)
+			c := candidate{step: s, slack: s.due + j.workflow.Objective() - d.now - d.expectedChainTime(j, s.number)}
+			c.workPerValue = d.workPerValue(s, c.slack)
 			if s.spec().Fills {
-				filling = append(filling, c)
+				bestEffort = append(bestEffort, c)
 			} else {
 				reserved = append(reserved, c)
 			}
@@ -112,15 +114,15 @@
 		d.assignStep(c.step)
 	}
 	for _, j := range d.jobs {
-		if j.over() || !open && d.inherited(j) {
+		if j.inactive() || !mayStartInherited && d.inherited(j) {
 			continue
 		}
 		for _, s := range j.steps {
-			d.copies(s)
+			d.startCopies(s)
 		}
 	}
-	slices.SortFunc(filling, compareFilling)
-	for _, c := range filling {
+	slices.SortFunc(bestEffort, compareBestEffort)
+	for _, c := range bestEffort {
 		d.assignStep(c.step)
 	}
 }
@@ -131,14 +133,14 @@
 	case s.spec().Gang:
 		d.assignGang(s)
 	case s.spec().Fills:
-		d.assignFilling(s)
+		d.assignBestEffort(s)
 	default:
 		d.assignReserved(s)
 	}
 }
 
-// compareReserved orders steps whose processors are reserved: by priority, then
-// by slack, and what is late already comes last.
+// compareReserved orders steps with reserved processors by priority, then by
+// slack; late ones come last within their priority.
 func compareReserved(a, b candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.step.job.workflow.Priority, b.step.job.workflow.Priority),
@@ -150,13 +152,13 @@
 	)
 }
 
-// compareFilling orders steps that fill: by priority, then by the work that
-// brings most. Workflows that are nearly done come before those that have just
-// begun, and what is late comes after what is not.
-func compareFilling(a, b candidate) int {
+// compareBestEffort orders best-effort steps by priority, then by work left per
+// unit of value. Workflows that are nearly done come before those that have
+// just started, and late ones come after those in time.
+func compareBestEffort(a, b candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.step.job.workflow.Priority, b.step.job.workflow.Priority),
-		cmp.Compare(a.price, b.price),
+		cmp.Compare(a.workPerValue, b.workPerValue),
 		cmp.Compare(a.step.job.workflow.ID, b.step.job.workflow.ID),
 		cmp.Compare(a.step.occurrence, b.step.occurrence),
 		cmp.Compare(a.step.number, b.step.number),
@@ -164,37 +166,40 @@
 }
 
 const (
-	// baseWorth and workWorth make up what a workflow is worth: a part that all
-	// have, and a part in proportion to its work against the mean of its queue, as
-	// the platform states it.
-	baseWorth = 0.3
-	workWorth = 0.7
-	// lateWorth is what a workflow is worth that misses its objective, and
-	// hopelessWorth what it is worth after three times the objective.
-	lateWorth     = 0.15
-	hopelessWorth = 0.01
-	// lateLimit of the objective, after which finishing brings nothing.
+	// baseValue and workValue make up the value of a workflow, as stated by the
+	// platform: a part that all workflows have, and a part in proportion to its
+	// work relative to the mean of its queue.
+	baseValue = 0.3
+	workValue = 0.7
+	// lateValue is the factor of value for a workflow that misses its
+	// objective, and veryLateValue the factor after lateLimit times the
+	// objective.
+	lateValue     = 0.15
+	veryLateValue = 0.01
+	// lateLimit is the multiple of the objective after which finishing has no
+	// value.
 	lateLimit = 3
-	// meanRate is the share of a difference by which one workflow moves the mean
-	// work of its queue.
-	meanRate = 0.05
+	// meanSizeRate is the share of the difference by which one workflow moves
+	// the mean work of its queue.
+	meanSizeRate = 0.05
 )
 
-// price returns the work that is left for each unit of worth. It answers bursts
-// that can't all be served in time: the processors go to what earns most with
-// them, and started workflows finish before new ones dilute them.
-func (d *Dispatcher) price(s *step, slack time.Duration) float64 {
+// workPerValue returns the work left per unit of value. In bursts that cannot
+// all be served in time, ordering by it gives the processors to the workflows
+// that earn most with them, and finishes started workflows before new ones take
+// their share.
+func (d *Dispatcher) workPerValue(s *step, slack time.Duration) float64 {
 	j := s.job
-	left := float64(j.work(s.occurrence))
-	worth := baseWorth + workWorth*j.size/max(1, d.meanSize[j.workflow.Queue])
+	left := float64(j.unfinishedWork(s.occurrence))
+	value := baseValue + workValue*j.size/max(1, d.meanSize[j.workflow.Queue])
 	objective := j.workflow.Objective()
 	switch {
 	case slack+(lateLimit-1)*objective < 0:
-		worth *= hopelessWorth
+		value *= veryLateValue
 	case slack < 0:
-		worth *= lateWorth
+		value *= lateValue
 	}
-	return left / worth
+	return left / value
 }
 
 func late(c candidate) int {
@@ -207,29 +212,29 @@
 // inherited reports whether an earlier owner may have started tasks of the job.
 func (d *Dispatcher) inherited(j *job) bool { return d.config.Predecessor && j.offset < d.config.Token }
 
-// open reports whether workflows of the predecessor's time may start: every
-// worker that it may have used holds to this owner, or has lost its runs.
-func (d *Dispatcher) open() bool {
+// inheritedMayStart reports whether inherited workflows may start: every worker
+// that an earlier owner may have used has accepted this owner's token or has
+// lost its runs.
+func (d *Dispatcher) inheritedMayStart() bool {
 	if !d.config.Predecessor {
 		return true
 	}
-	if d.now < d.holdStarts {
+	if d.now < d.startsFrom {
 		return false
 	}
-	for _, w := range d.order {
-		if w.early && !w.fenced && !d.certain(w) {
+	for _, w := range d.workersByID {
+		if w.inherited && !w.fenced && !d.leaseEnded(w) {
 			return false
 		}
 	}
-	if !d.barrierNoted {
-		d.barrierNoted = true
-		d.logger.Info("takes over workflows of the earlier owner", "after-ms", (d.now - d.startedAt).Milliseconds(), "workflows", len(d.jobs))
+	if !d.takeoverLogged {
+		d.takeoverLogged = true
+		d.logger.Info("taking over workflows of the earlier owner", "after-ms", (d.now - d.startedAt).Milliseconds(), "workflows", len(d.jobs))
 	}
 	return true
 }
 
-// assignReserved starts the waiting tasks of a step whose processors are
-// reserved.
+// assignReserved starts the waiting tasks of a step with reserved processors.
 func (d *Dispatcher) assignReserved(s *step) {
 	for _, t := range s.tasks {
 		if !t.pending() || d.exhausted(t) {
@@ -237,7 +242,7 @@
 		}
 		w := d.bestReserved(t)
 		if w == nil {
-			d.makeRoom(t)
+			d.preemptFor(t)
 			return
 		}
 		d.start(t, w)
@@ -255,28 +260,30 @@
 	return d.eligible(t, w) && reservation(t.step.spec()).Fits(w.free())
 }
 
-// eligible reports whether a task may run on a worker, room aside.
+// eligible reports whether a task may run on a worker, regardless of free
+// capacity.
 func (d *Dispatcher) eligible(t *task, w *worker) bool {
 	spec := t.step.spec()
-	if w.entry.Service != t.step.job.workflow.Service || !w.takesStarts(d.now) {
+	if w.entry.Service != t.step.job.workflow.Service || !w.acceptsStarts(d.now) {
 		return false
 	}
 	if spec.Requirement != "" && !slices.Contains(w.entry.Labels, spec.Requirement) {
 		return false
 	}
-	if t.step.within != "" && t.step.within != w.entry.Rack {
+	if t.step.rack != "" && t.step.rack != w.entry.Rack {
 		return false
 	}
 	return spec.MaxPerWorker <= 0 || t.step.spread[w] < spec.MaxPerWorker
 }
 
-// bestReserved returns the worker for a task whose processors are reserved, or
-// nil. Short tasks go where they leave the least room, so that large holes stay
-// for wide ones; lasting tasks go beside others of their image.
+// bestReserved returns the best worker for a task with reserved processors, or
+// nil if none fits. Short tasks go where they leave the least room, so that
+// large gaps stay for large tasks; long-running tasks go next to others of
+// their image.
 func (d *Dispatcher) bestReserved(t *task) *worker {
 	var best *worker
 	var bestCost float64
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if !d.fits(t, w) {
 			continue
 		}
@@ -289,25 +296,28 @@
 }
 
 const (
-	// avoidCost keeps a task from the worker where it failed last, unless there
-	// is no other; larger than the cost of any free capacity.
+	// avoidCost keeps a task from the worker where it failed last if there is
+	// another one; larger than the cost of any free capacity.
 	avoidCost = 1e6
-	// rackCost keeps a task from other racks than the one with its data.
+	// rackCost keeps a task on the rack with its data.
 	rackCost = 1e5
-	// freeWeight of a worker's free processors against the gains below.
+	// freeWeight weighs a worker's free processors against the costs and gains
+	// below.
 	freeWeight = 0.1
-	// spreadCost of each task of the same step on a worker, in thousandths of a
-	// core.
+	// spreadCost is the cost of each task of the same step on a worker, in
+	// millicores.
 	spreadCost = 1.5e3
-	// mixCost of each lasting task of another image on a worker and groupGain of
-	// each of the same, in thousandths of a core. Images differ in what presses
-	// them, so workers with one image leave room for most of what fills.
+	// mixCost is the cost of each long-running task of another image on a
+	// worker, and groupGain the gain of each of the same image, in millicores.
+	// Images differ in what interferes with them, so workers with a single
+	// image leave room for most best-effort tasks.
 	mixCost   = 4e3
 	groupGain = 3e3
 )
 
-// lastingImages returns the numbers of lasting tasks of an image and of others.
-func (w *worker) lastingImages(image string) (same, others int) {
+// countLongRunning returns the numbers of long-running tasks of an image and of
+// other images.
+func (w *worker) countLongRunning(image string) (same, others int) {
 	for _, r := range w.runs {
 		spec := r.task.step.spec()
 		switch {
@@ -325,10 +335,10 @@
 	spec := t.step.spec()
 	cost := float64(w.free().MilliCPU())
 	if spec.Lasting {
-		same, others := w.lastingImages(spec.Image)
+		same, others := w.countLongRunning(spec.Image)
 		cost = -freeWeight*cost + spreadCost*float64(t.step.spread[w]) + mixCost*float64(others) - groupGain*float64(same)
 	}
-	if t.avoid == w {
+	if t.avoidWorker == w {
 		cost += avoidCost
 	}
 	if spec.Rack != "" && spec.Rack != w.entry.Rack {
@@ -337,90 +347,92 @@
 	return cost
 }
 
-// assignFilling starts the waiting tasks of a step that fills.
-func (d *Dispatcher) assignFilling(s *step) {
+// assignBestEffort starts the waiting tasks of a best-effort step.
+func (d *Dispatcher) assignBestEffort(s *step) {
 	for _, t := range s.tasks {
 		if !t.pending() || d.exhausted(t) {
 			continue
 		}
-		w, share := d.chooseFilling(t)
+		w, share := d.chooseBestEffort(t)
 		if w == nil {
-			d.explainWaiting(t)
+			d.logWaiting(t)
 			return
 		}
 		d.startAt(t, w, share)
 	}
 }
 
-// chooseFilling returns the worker for a task that fills and the share of full
-// speed at which it may work; nil while there is none.
-func (d *Dispatcher) chooseFilling(t *task) (*worker, float64) {
-	w, share := d.bestFilling(t)
-	if w == nil && d.starves(t) {
-		return d.leastHarm(t)
+// chooseBestEffort returns the worker for a best-effort task and the share of
+// full speed at which it may work, or nil if there is none. A starving task
+// takes the fastest worker even if it is slow.
+func (d *Dispatcher) chooseBestEffort(t *task) (*worker, float64) {
+	w, share := d.cheapestBestEffort(t)
+	if w == nil && d.starving(t) {
+		return d.fastestWorker(t)
 	}
 	return w, share
 }
 
-// explainWaiting logs why no worker takes a task that fills.
-func (d *Dispatcher) explainWaiting(t *task) {
+// logWaiting logs why no worker takes a best-effort task.
+func (d *Dispatcher) logWaiting(t *task) {
 	if !d.logger.IsDebug() {
 		return
 	}
-	unfit, busy, pressed := 0, 0, 0
-	for _, w := range d.order {
+	noFit, busy, interfering := 0, 0, 0
+	for _, w := range d.workersByID {
 		switch {
 		case !d.fits(t, w):
-			unfit++
-		case w.idle() < float64(t.step.spec().Resources.MilliCPU())*fillLimit:
+			noFit++
+		case w.idle() < float64(t.step.spec().Resources.MilliCPU())*bestEffortLimit:
 			busy++
 		default:
-			pressed++
+			interfering++
 		}
 	}
 	d.logger.Debug("task waits", "workflow", t.step.job.workflow.ID, "step", t.step.number, "index", t.index,
-		"waited-ms", (d.now - t.readySince).Milliseconds(), "image", t.step.spec().Image, "unfit", unfit, "busy", busy, "pressed", pressed)
+		"waited-ms", (d.now - t.readySince).Milliseconds(), "image", t.step.spec().Image, "unfit", noFit, "busy", busy, "pressed", interfering)
 }
 
-// idle returns the processors that are expected to be unused on a worker, in
-// thousandths of a core.
+// idle returns the processors of a worker that are expected to be unused, in
+// millicores.
 func (w *worker) idle() float64 {
 	reserved := w.reserved.MilliCPU()
-	used := float64(reserved-w.serving) + servingShare*float64(w.serving)
-	return float64(w.entry.Capacity.MilliCPU()) - used - float64(w.filling)
+	used := float64(reserved-w.longRunningCPU) + longRunningUsage*float64(w.longRunningCPU)
+	return float64(w.entry.Capacity.MilliCPU()) - used - float64(w.bestEffortCPU)
 }
 
 const (
-	// leastShare of full speed at which a task that fills is worth starting; it
-	// holds the rate of its workflow back below.
-	leastShare = 0.4
-	// slowCost of a worker on which a task works at no speed, against one whose
-	// processors are all in use.
-	slowCost = 1.5
-	// burdenGain of a worker on which every image presses something, for tasks
-	// that press nothing there: they leave the others to those that do elsewhere.
-	burdenGain = 0.8
+	// minShare is the lowest share of full speed at which a best-effort task is
+	// worth starting; a slower task holds back the rate of its workflow.
+	minShare = 0.4
+	// slowdownCost is the cost of a worker on which a task makes no progress,
+	// relative to one whose processors are all in use.
+	slowdownCost = 1.5
+	// interferenceGain is the gain of a worker on which every image interferes
+	// with something, for tasks that interfere with nothing there: they leave
+	// the other workers to tasks that do.
+	interferenceGain = 0.8
 )
 
-// bestFilling returns the worker for a task that fills and the share of full
-// speed at which it may work; nil while none has enough idle processors that it
-// may use.
-func (d *Dispatcher) bestFilling(t *task) (*worker, float64) {
+// cheapestBestEffort returns the worker for a best-effort task and the share of
+// full speed at which it may work, or nil if no worker has enough idle
+// processors that it may use.
+func (d *Dispatcher) cheapestBestEffort(t *task) (*worker, float64) {
 	spec := t.step.spec()
 	need := float64(spec.Resources.MilliCPU())
 	var best *worker
 	var bestCost, bestShare float64
-	for _, w := range d.order {
-		if !d.fits(t, w) || w.idle() < need*fillLimit {
+	for _, w := range d.workersByID {
+		if !d.fits(t, w) || w.idle() < need*bestEffortLimit {
 			continue
 		}
-		share, burden := d.shareOn(t, w)
-		if share < leastShare {
+		share, interfering := d.shareOn(t, w)
+		if share < minShare {
 			continue
 		}
-		cost := d.fillingCost(t, w) + slowCost*(1-share)
+		cost := d.bestEffortCost(t, w) + slowdownCost*(1-share)
 		if share == 1 {
-			cost -= burdenGain * burden
+			cost -= interferenceGain * interfering
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost, bestShare = w, cost, share
@@ -429,23 +441,24 @@
 	return best, bestShare
 }
 
-// shareOn returns the share of full speed at which a task that fills could work
-// on a worker, and the share of all images that press something there.
-func (d *Dispatcher) shareOn(t *task, w *worker) (share, burden float64) {
+// shareOn returns the share of full speed at which a best-effort task could
+// work on a worker, and the share of all images that interfere with something
+// there.
+func (d *Dispatcher) shareOn(t *task, w *worker) (share, interfering float64) {
 	if d.config.Pacer == nil {
 		return 1, 0
 	}
 	spec := t.step.spec()
 	cores := float64(spec.Resources.MilliCPU()) / briarspring.MilliCPUPerCore
-	serving := w.servingTasks(d.now)
-	return d.config.Pacer.Share(w.id, spec.Image, cores, serving, w.fillingTasks()), d.config.Pacer.Burden(serving)
+	latency := w.latencyTasks(d.now)
+	return d.config.Pacer.Share(w.id, spec.Image, cores, latency, w.bestEffortTasks()), d.config.Pacer.Burden(latency)
 }
 
-// fillingCost grows with the share of idle processors that is used.
-func (d *Dispatcher) fillingCost(t *task, w *worker) float64 {
+// bestEffortCost returns a cost that grows with the share of processors in use.
+func (d *Dispatcher) bestEffortCost(t *task, w *worker) float64 {
 	spec := t.step.spec()
 	cost := 1 - w.idle()/float64(max(1, w.entry.Capacity.MilliCPU()))
-	if t.avoid == w {
+	if t.avoidWorker == w {
 		cost += avoidCost
 	}
 	if spec.Rack != "" && spec.Rack != w.entry.Rack {
--- a/dispatcher/preempt.go
+++ b/dispatcher/preempt.go
@@ -6,58 +6,60 @@
 	"time"
 )
 
-// starveTime that a workflow of which nothing runs waits for a worker that its
-// image does not press, before one of its tasks starts where it slows others least.
-const starveTime = 1200 * time.Millisecond
+// starvationTime is how long a workflow without live runs waits for a worker
+// where its image interferes with nothing, before one of its tasks starts where
+// it slows others least.
+const starvationTime = 1200 * time.Millisecond
 
-// makeRoom stops tasks that fill where a task whose processors are reserved
-// would fit but for their memory. It answers lasting tasks that must come back
-// while work that fills holds the memory of every worker.
-func (d *Dispatcher) makeRoom(t *task) {
+// preemptFor stops best-effort tasks to free memory for a task with reserved
+// processors. It guards against best-effort work that holds the memory of every
+// worker while long-running tasks have to start again.
+func (d *Dispatcher) preemptFor(t *task) {
 	var best []*run
 	found := false
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		victims, ok := d.victims(t, w)
 		if ok && (!found || len(victims) < len(best)) {
 			best, found = victims, true
 		}
 	}
 	for _, r := range best {
-		d.stop(r, "gives its memory to reserved work")
+		d.stop(r, "preempted to free memory for reserved work")
 	}
 }
 
-// victims returns the runs that have to stop so that a task fits on a worker;
-// false when that does not help. Runs that are stopping already count as gone.
+// victims returns the runs that must stop so that a task fits on a worker, or
+// false if stopping them is not enough. The memory of runs that are already
+// stopping counts as free.
 func (d *Dispatcher) victims(t *task, w *worker) ([]*run, bool) {
 	spec := t.step.spec()
 	if !d.eligible(t, w) || spec.Resources.MilliCPU() > w.free().MilliCPU() {
 		return nil, false
 	}
-	lack := spec.Resources.MemoryMiB() - w.free().MemoryMiB()
-	var filling []*run
+	missingMiB := spec.Resources.MemoryMiB() - w.free().MemoryMiB()
+	var bestEffort []*run
 	for _, r := range w.runs {
 		switch {
 		case r.stopping:
-			lack -= reservation(r.task.step.spec()).MemoryMiB()
+			missingMiB -= reservation(r.task.step.spec()).MemoryMiB()
 		case r.task.step.spec().Fills:
-			filling = append(filling, r)
+			bestEffort = append(bestEffort, r)
 		}
 	}
-	slices.SortFunc(filling, compareVictims)
+	slices.SortFunc(bestEffort, compareVictims)
 	var victims []*run
-	for _, r := range filling {
-		if lack <= 0 {
+	for _, r := range bestEffort {
+		if missingMiB <= 0 {
 			break
 		}
-		lack -= r.task.step.spec().Resources.MemoryMiB()
+		missingMiB -= r.task.step.spec().Resources.MemoryMiB()
 		victims = append(victims, r)
 	}
-	return victims, lack <= 0
+	return victims, missingMiB <= 0
 }
 
-// compareVictims puts first what loses least: runs with checkpoints, then those
-// that have come least far.
+// compareVictims sorts runs that lose least first: those with checkpoints, then
+// those with the least progress.
 func compareVictims(a, b *run) int {
 	saves := func(r *run) int {
 		if r.task.step.spec().Checkpoints {
@@ -67,24 +69,25 @@
 	}
 	return cmp.Or(
 		cmp.Compare(saves(a), saves(b)),
-		cmp.Compare(a.percent, b.percent),
+		cmp.Compare(a.progress, b.progress),
 		cmp.Compare(a.ref.Task.Workflow, b.ref.Task.Workflow),
 		cmp.Compare(a.ref.Task.Step, b.ref.Task.Step),
 		cmp.Compare(a.ref.Task.Index, b.ref.Task.Index),
 	)
 }
 
-// starves reports whether a task waits of whose workflow nothing runs.
-func (d *Dispatcher) starves(t *task) bool {
-	return d.now-t.readySince > starveTime && t.step.job.alive() == 0
+// starving reports whether a task has waited too long while nothing of its
+// workflow runs.
+func (d *Dispatcher) starving(t *task) bool {
+	return d.now-t.readySince > starvationTime && t.step.job.liveRuns() == 0
 }
 
-// leastHarm returns the worker on which a task that fills may work fastest,
-// however slowly, and the share of full speed.
-func (d *Dispatcher) leastHarm(t *task) (*worker, float64) {
+// fastestWorker returns the worker on which a best-effort task may work
+// fastest, however slow that is, and the share of full speed there.
+func (d *Dispatcher) fastestWorker(t *task) (*worker, float64) {
 	var best *worker
 	bestShare := -1.0
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if !d.fits(t, w) {
 			continue
 		}
--- a/dispatcher/runs.go
+++ b/dispatcher/runs.go
@@ -16,17 +16,17 @@
 	Age    time.Duration
 	Pace   int // In percent of full speed.
 	Image  string
-	Tail   float64 // Of a lasting task, as a share of its target; zero for none.
+	Tail   float64 // Tail latency of a long-running task as a share of its target; zero for none.
 }
 
-// stateStopping is told of runs whose stop was ordered.
+// stateStopping is the state shown for runs whose stop was ordered.
 const stateStopping = "stopping"
 
-// Runs returns the runs of a workflow that may be alive, or those of all when
-// the ID is empty, in order of their names.
+// Runs returns the runs of a workflow that may be alive, sorted by reference.
+// An empty ID selects all workflows.
 func (d *Dispatcher) Runs(id briarspring.WorkflowID) []RunInfo {
 	var list []RunInfo
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		for ref, r := range w.runs {
 			if id == "" || ref.Task.Workflow == id {
 				list = append(list, d.describe(r))
--- a/dispatcher/transfer.go
+++ b/dispatcher/transfer.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// lastingWait of a lasting task that finds no room, before it goes to another
-	// data centre; well below the 3 s in which it has to be at work again.
-	lastingWait = 600 * time.Millisecond
-	// urgentWait is the same for a workflow whose processors are reserved and of
-	// which nothing runs; half of the time that its objective leaves.
-	urgentWait = 150 * time.Millisecond
-	// maxTransfers bounds the workflows of one round.
+	// longRunningWait is how long a long-running task waits for room before it
+	// is transferred to another data centre; well below the 3 s within which it
+	// has to be at work again.
+	longRunningWait = 600 * time.Millisecond
+	// reservedWait is the same for a workflow with reserved processors and no
+	// live runs; half of the time that its objective leaves.
+	reservedWait = 150 * time.Millisecond
+	// maxTransfers limits the transfers of one round.
 	maxTransfers = 16
 )
 
-// Transfer gives waiting tasks of a workflow to another data centre.
+// Transfer moves waiting tasks of a workflow to another data centre.
 type Transfer struct {
 	Workflow briarspring.WorkflowID
-	Number   int // Tells the transfers of this owner apart.
+	Number   int // Unique among the transfers of this owner.
 	Content  briarspring.TaskTransfer
 }
 
-// TakeTransfers returns the transfers that are due. Choose picks a data centre
-// for a task of a step, or returns none. The tasks are not started here unless
-// the transfer turns out to be void.
+// TakeTransfers returns the transfers that are due. choose returns a data
+// centre for a task of a step, or the empty string for none. The tasks are not
+// started here unless the transfer turns out to be void.
 func (d *Dispatcher) TakeTransfers(now time.Duration, choose func(*briarspring.Step) string) []Transfer {
 	d.now = now
-	if !d.listed || !d.open() {
-		// An earlier owner may have started them on workers that are not known yet.
+	if !d.workersListed || !d.inheritedMayStart() {
+		// An earlier owner may have started tasks on workers that are not known yet.
 		return nil
 	}
 	var list []Transfer
@@ -40,7 +41,7 @@
 		if len(list) >= maxTransfers {
 			break
 		}
-		tasks := d.leavers(j)
+		tasks := d.transferable(j)
 		if len(tasks) == 0 {
 			continue
 		}
@@ -53,11 +54,12 @@
 	return list
 }
 
-// waitingJobs returns the jobs with tasks that may start but do not, in order.
+// waitingJobs returns the jobs with tasks that are ready but have no run,
+// sorted by ID.
 func (d *Dispatcher) waitingJobs() []*job {
 	var jobs []*job
 	for _, j := range d.jobs {
-		if j.over() {
+		if j.inactive() {
 			continue
 		}
 		for _, s := range j.steps {
@@ -71,19 +73,19 @@
 	return jobs
 }
 
-// leavers returns the tasks of a job that should go elsewhere: single tasks of a
-// lasting one, and all or none of any other and of gangs, so that its steps stay
-// together.
-func (d *Dispatcher) leavers(j *job) []*task {
+// transferable returns the tasks of a job that should move to another data
+// centre: single tasks of a long-running job, but all or none of a gang or any
+// other job, so that its steps stay together.
+func (d *Dispatcher) transferable(j *job) []*task {
 	var tasks []*task
 	due := false
 	for _, t := range j.tasks {
-		if !t.mine || t.leaving {
+		if !t.local || t.transferring {
 			continue
 		}
 		spec := t.step.spec()
 		if spec.Lasting && !spec.Gang {
-			if t.pending() && (d.out || d.now-t.readySince > lastingWait) {
+			if t.pending() && (d.outOfService || d.now-t.readySince > longRunningWait) {
 				tasks = append(tasks, t)
 				due = true
 			}
@@ -93,20 +95,21 @@
 			return nil
 		}
 		tasks = append(tasks, t)
-		if t.pending() && t.step.ready(d.now) && (d.out || !spec.Fills && !spec.Lasting && d.now-t.readySince > urgentWait) {
+		if t.pending() && t.step.ready(d.now) && (d.outOfService || !spec.Fills && !spec.Lasting && d.now-t.readySince > reservedWait) {
 			due = true
 		}
 	}
 	if !due {
 		return nil
 	}
-	// The first one decides where they go, so it must be one that waits.
-	slices.SortStableFunc(tasks, func(a, b *task) int { return cmp.Compare(d.needOf(b), d.needOf(a)) })
+	// The first task determines the destination, so it must be one that waits.
+	slices.SortStableFunc(tasks, func(a, b *task) int { return cmp.Compare(d.waitingCPU(b), d.waitingCPU(a)) })
 	return tasks
 }
 
-// needOf returns what a task that waits needs, and less for others.
-func (d *Dispatcher) needOf(t *task) int64 {
+// waitingCPU returns the declared processors of a task that is ready and waits,
+// and -1 for any other task.
+func (d *Dispatcher) waitingCPU(t *task) int64 {
 	if !t.pending() || !t.step.ready(d.now) {
 		return -1
 	}
@@ -114,41 +117,42 @@
 }
 
 func (d *Dispatcher) transfer(j *job, tasks []*task, to string) Transfer {
-	d.transfers++
-	tr := Transfer{Workflow: j.workflow.ID, Number: d.transfers, Content: briarspring.TaskTransfer{
+	d.lastTransfer++
+	tr := Transfer{Workflow: j.workflow.ID, Number: d.lastTransfer, Content: briarspring.TaskTransfer{
 		Token: d.config.Token, From: d.config.DataCentre, To: to,
 	}}
 	for _, t := range tasks {
-		t.leaving = true
+		t.transferring = true
 		tr.Content.Tasks = append(tr.Content.Tasks, briarspring.TaskProgress{
 			Position: t.position, Done: t.done, FailedRuns: slices.Clone(t.failedRuns), Run: t.lastRun, Checkpoint: t.checkpoint,
 		})
 	}
-	d.logger.Info("tasks go to another data centre", "workflow", j.workflow.ID, "tasks", len(tasks), "to", to,
-		"out", d.out, "waited-ms", (d.now - tasks[0].readySince).Milliseconds())
+	d.logger.Info("transferring tasks to another data centre", "workflow", j.workflow.ID, "tasks", len(tasks), "to", to,
+		"out", d.outOfService, "waited-ms", (d.now - tasks[0].readySince).Milliseconds())
 	return tr
 }
 
-// Place tells where a task belongs, as it is recorded.
+// Place is the recorded location of a task.
 type Place struct {
-	Mine    bool // This data centre runs it.
-	Moves   int  // Transfers of it so far.
-	Brought briarspring.TaskProgress
+	Mine    bool                     // This data centre runs it.
+	Moves   int                      // Number of transfers so far.
+	Brought briarspring.TaskProgress // Progress that came with the last transfer.
 }
 
-// settleIn notes where the tasks of a new job belong.
-func (j *job) settleIn(place func(position int) Place) {
-	j.away = true
+// setPlaces sets which of the job's tasks this data centre runs.
+func (j *job) setPlaces(place func(position int) Place) {
+	j.transferredAway = true
 	for _, t := range j.tasks {
 		p := place(t.position)
-		t.mine, t.moves = p.Mine, p.Moves
-		j.away = j.away && !t.mine
+		t.local, t.transfers = p.Mine, p.Moves
+		j.transferredAway = j.transferredAway && !t.local
 	}
 }
 
-// Moved takes what is recorded of transfers of a workflow's tasks. Tasks that
-// went away are not started here any more, and a workflow without any other is
-// dropped. A task may have gone and come back since the last call.
+// Moved applies the recorded transfers of a workflow's tasks. Tasks that were
+// transferred away are not started here any more, and a workflow without any
+// local task is dropped. A task may have left and come back since the last
+// call.
 func (d *Dispatcher) Moved(now time.Duration, id briarspring.WorkflowID, place func(position int) Place) {
 	d.now = now
 	j := d.jobs[id]
@@ -158,23 +162,23 @@
 	moved, arrived := 0, 0
 	for _, t := range j.tasks {
 		p := place(t.position)
-		if p.Moves == t.moves {
+		if p.Moves == t.transfers {
 			continue
 		}
 		moved++
-		t.leaving = false
+		t.transferring = false
 		if p.Mine {
 			arrived++
 			t.readySince = now
 			p.Brought.Worker = ""
-			d.resume(j, p.Brought)
+			d.restoreProgress(j, p.Brought)
 		}
 	}
 	if moved == 0 {
 		return
 	}
-	j.settleIn(place)
-	d.changed = true
-	d.logger.Info("tasks were transferred", "workflow", id, "tasks", moved, "arrived", arrived, "away", j.away)
-	d.settle(j)
+	j.setPlaces(place)
+	d.needsPlan = true
+	d.logger.Info("tasks transferred", "workflow", id, "tasks", moved, "arrived", arrived, "away", j.transferredAway)
+	d.updatePhase(j)
 }
--- a/dispatcher/transfer_test.go
+++ b/dispatcher/transfer_test.go
@@ -13,24 +13,25 @@
 
 func TestTransfers(t *testing.T) {
 	elsewhere := func(*briarspring.Step) string { return "viljandi" }
-	lasting := step(2, 1000)
-	lasting.Lasting = true
-	t.Run("of single tasks of a lasting workflow", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
-		s.d.Submit(s.now, 0, workflow("a", lasting), 5, nil, nil)
-		run := starts(s.plan())["w0"][0]
+	service := step(2, 1000)
+	service.Lasting = true
+	t.Run("of single tasks of a long-running workflow", func(t *testing.T) {
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
+		s.d.Submit(s.now, 0, workflow("a", service), 5, nil, nil)
+		run := starts(s.planAndApply())["w0"][0]
 		s.d.SetOut(s.now, true)
-		s.end("w0", run, briarspring.RunFailed)
-		s.holdAll()
+		s.endRun("w0", run, briarspring.RunFailed)
+		s.renewAll()
 		list := s.d.TakeTransfers(s.now, elsewhere)
 		require.Len(t, list, 1)
 		require.Len(t, list[0].Content.Tasks, 1)
 		assert.Equal(t, run.Task.Index, list[0].Content.Tasks[0].Position)
 	})
-	// The batch that drops a workflow may be on its way when a task comes back.
+	// A task may be transferred back while the batch that drops its workflow is
+	// being stored.
 	t.Run("and back before the dropping is stored", func(t *testing.T) {
-		s := newSite(t, dispatcher.Config{Token: 1}, 1)
-		s.d.Submit(s.now, 0, workflow("a", lasting), 5, nil, nil)
+		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
+		s.d.Submit(s.now, 0, workflow("a", service), 5, nil, nil)
 		s.d.Moved(s.now, "a", func(int) dispatcher.Place { return dispatcher.Place{Moves: 1} })
 		batch, due := s.d.TakeBatch()
 		require.True(t, due)
@@ -38,40 +39,40 @@
 			return dispatcher.Place{Mine: true, Moves: 2, Brought: briarspring.TaskProgress{Position: position, Run: 4}}
 		})
 		s.d.Stored(batch)
-		list := starts(s.plan())["w0"]
+		list := starts(s.planAndApply())["w0"]
 		require.Len(t, list, 2)
 		assert.Equal(t, uint32(5), list[0].Run)
 	})
 }
 
-// A new owner that had not read the list of workers yet gave tasks away that the
-// earlier one had just started.
+// Guards against a new owner that transfers tasks before it has read the list
+// of workers, although the earlier owner has just started them.
 func TestTransfersAfterTakeover(t *testing.T) {
 	elsewhere := func(*briarspring.Step) string { return "viljandi" }
-	old := newSite(t, dispatcher.Config{Token: 1}, 1)
+	old := newFixture(t, dispatcher.Config{Token: 1}, 1)
 	old.d.Submit(old.now, 0, workflow("a", step(1, 1000)), 5, nil, nil)
-	old.plan()
+	old.planAndApply()
 	s := old.successor(9)
 	s.d.SetOut(s.now, true)
 	s.d.Submit(s.now, 0, workflow("a", step(1, 1000)), 5, nil, nil)
-	s.plan()
+	s.planAndApply()
 	assert.Empty(t, s.d.TakeTransfers(s.now, elsewhere), "no worker is known")
 	s.d.SetWorkers(s.now, []briarspring.WorkerEntry{s.workers["w0"].entry})
-	s.plan()
+	s.planAndApply()
 	assert.Empty(t, s.d.TakeTransfers(s.now, elsewhere), "the worker has not answered")
-	s.hold("w0")
-	s.plan()
+	s.renew("w0")
+	s.planAndApply()
 	assert.Empty(t, s.d.TakeTransfers(s.now, elsewhere), "the task runs")
 }
 
-// A task that left and came back while the owner read nothing counted as leaving
-// for good.
+// Guards against a task that stays marked as transferring for good, because it
+// was transferred away and back before the owner read either transfer.
 func TestTaskThatLeftAndCameBack(t *testing.T) {
-	s := newSite(t, dispatcher.Config{Token: 1}, 1)
-	lasting := step(1, 9000) // More than the worker has.
-	lasting.Lasting = true
-	s.d.Submit(s.now, 0, workflow("a", lasting), 5, nil, nil)
-	assert.Empty(t, starts(s.plan()))
+	s := newFixture(t, dispatcher.Config{Token: 1}, 1)
+	service := step(1, 9000) // More than the worker has.
+	service.Lasting = true
+	s.d.Submit(s.now, 0, workflow("a", service), 5, nil, nil)
+	assert.Empty(t, starts(s.planAndApply()))
 	elsewhere := func(*briarspring.Step) string { return "viljandi" }
 	s.now += time.Second
 	require.Len(t, s.d.TakeTransfers(s.now, elsewhere), 1)
--- a/dispatcher/trust.go
+++ b/dispatcher/trust.go
@@ -3,53 +3,56 @@
 import "time"
 
 const (
-	// failStreak of runs that failed one after the other sets a worker aside;
-	// at the usual failure shares of up to 5 percent, three in a row by chance
-	// are rare.
-	failStreak = 3
-	// asideTime is how long a worker is set aside before it gets one run as a
-	// probe.
-	asideTime = 4 * time.Second
-	// probeTime at work after which a probe shows that the worker is sound; above
-	// stallTime, so that a probe that stands still is noticed first.
+	// quarantineFailures is the number of consecutive failed runs that
+	// quarantines a worker; at the usual failure rates of up to 5 percent,
+	// three in a row by chance are rare.
+	quarantineFailures = 3
+	// quarantineTime is how long a worker is quarantined before it gets one run
+	// as a probe.
+	quarantineTime = 4 * time.Second
+	// probeTime is how long a probe must run to end the quarantine; above
+	// stallTime, so that a stalled probe is noticed first.
 	probeTime = 2 * time.Second
-	// atWork is the percent that a worker tells of a lasting task at work.
+	// atWork is the progress in percent that a worker reports for a
+	// long-running task at work.
 	atWork = 100
 )
 
-// trusted reports whether the worker may get a start in view of its failures.
-func (w *worker) trusted(now time.Duration) bool {
-	if w.streak < failStreak {
+// admitted reports whether the worker is not quarantined, or may get a probe.
+func (w *worker) admitted(now time.Duration) bool {
+	if w.failureStreak < quarantineFailures {
 		return true
 	}
-	return now >= w.aside && w.probing == nil
+	return now >= w.quarantinedUntil && w.probe == nil
 }
 
-// takesStarts reports whether the worker may get starts at present.
-func (w *worker) takesStarts(now time.Duration) bool { return w.usable(now) && w.trusted(now) }
+// acceptsStarts reports whether the worker may get starts at present.
+func (w *worker) acceptsStarts(now time.Duration) bool { return w.usable(now) && w.admitted(now) }
 
-// failedOn counts failures in a row and sets the worker aside after some.
-func (d *Dispatcher) failedOn(w *worker, r *run) {
-	w.streak++
-	if w.streak < failStreak {
+// countWorkerFailure counts consecutive failures and quarantines the worker
+// after quarantineFailures of them.
+func (d *Dispatcher) countWorkerFailure(w *worker, r *run) {
+	w.failureStreak++
+	if w.failureStreak < quarantineFailures {
 		return
 	}
-	w.aside = d.now + asideTime
-	d.logger.Warn("worker set aside", "worker", w.id, "failures-in-a-row", w.streak, "last-workflow", r.ref.Task.Workflow)
+	w.quarantinedUntil = d.now + quarantineTime
+	d.logger.Warn("worker quarantined", "worker", w.id, "failures-in-a-row", w.failureStreak, "last-workflow", r.ref.Task.Workflow)
 }
 
-// vouch trusts a worker again whose probe has been at work for some time. It
-// answers probes that last: their end would come too late or never.
-func (d *Dispatcher) vouch(w *worker) {
-	r := w.probing
-	if r == nil || r.state != runAlive || r.stopping || d.now-r.settledAt < probeTime {
+// endProbe ends the quarantine of a worker once its probe has run for probeTime
+// and has made progress. It does not wait for the probe to end, because a
+// long-running task ends late or never.
+func (d *Dispatcher) endProbe(w *worker) {
+	r := w.probe
+	if r == nil || r.state != runAlive || r.stopping || d.now-r.startAnsweredAt < probeTime {
 		return
 	}
-	if r.percent == 0 || r.task.step.spec().Lasting && r.percent != atWork {
+	if r.progress == 0 || r.task.step.spec().Lasting && r.progress != atWork {
 		return
 	}
-	w.streak = 0
-	w.probing = nil
-	d.changed = true
-	d.logger.Info("worker is trusted again", "worker", w.id, "probe", r.ref.Task.Workflow, "age-ms", (d.now - r.since).Milliseconds())
+	w.failureStreak = 0
+	w.probe = nil
+	d.needsPlan = true
+	d.logger.Info("worker left quarantine", "worker", w.id, "probe", r.ref.Task.Workflow, "age-ms", (d.now - r.since).Milliseconds())
 }
--- a/dispatcher/worker.go
+++ b/dispatcher/worker.go
@@ -9,56 +9,57 @@
 )
 
 const (
-	// clockSkew is how much slower than ours a worker's clock may run; the
-	// platform states two percent, the rest covers rounding.
+	// clockSkew is by how much a worker's clock may run slower than this
+	// process's; the platform states two percent, the rest covers rounding.
 	clockSkew = 0.025
-	// lapseMargin covers the rounding of clock readings to milliseconds.
-	lapseMargin = 50 * time.Millisecond
-	// startWindow bounds how late a start order may be carried out, by the
-	// worker's clock; below the least drain bound of 2 s.
+	// leaseMargin covers the rounding of clock readings to milliseconds.
+	leaseMargin = 50 * time.Millisecond
+	// startWindow limits how late a start order may be carried out, by the
+	// worker's clock; below the shortest drain time of 2 s.
 	startWindow = 1500 * time.Millisecond
-	// silentAfter without an answer a worker gets no starts; above the longest
-	// wait of a hold with its round trip.
-	silentAfter = 1200 * time.Millisecond
-	// orderPause after an order that was refused or lost, before the next start.
-	orderPause = 500 * time.Millisecond
+	// silenceLimit is the time without an answer after which a worker gets no
+	// starts; above the longest wait of a renewal plus its round trip.
+	silenceLimit = 1200 * time.Millisecond
+	// startPause is the delay before the next start on a worker after a refused
+	// or unanswered one.
+	startPause = 500 * time.Millisecond
 )
 
-// worker is what the owner knows of one worker.
+// worker is the owner's state of one worker.
 type worker struct {
-	id       string
-	entry    briarspring.WorkerEntry
-	listed   bool
-	goneAt   time.Duration // When it left the list; zero for never.
-	leavesAt time.Duration // Earliest time at which it leaves while it drains.
-	early    bool          // Known when the claim came into force, so that a predecessor may have used it.
+	id         string
+	entry      briarspring.WorkerEntry
+	listed     bool
+	unlistedAt time.Duration // When it left the list; zero while listed.
+	leavesAt   time.Duration // Earliest time at which it leaves; zero unless draining.
+	inherited  bool          // Known when the claim took effect, so an earlier owner may have used it.
 
-	fenced     bool // Has answered under this owner's token in its present life.
-	born       int64
-	clock      time.Duration // The worker's clock at clockAt.
-	clockAt    time.Duration
-	until      time.Duration // Latest lease deadline that was ever sent, by the worker's clock.
-	answeredAt time.Duration
-	seen       uint64 // Highest number of an end that was taken in.
-	stored     uint64 // Highest number of an end that is in the log.
-	newLife    bool   // The next hold must not acknowledge ends.
+	fenced        bool // Has answered under this owner's token in its present incarnation.
+	incarnation   int64
+	clock         time.Duration // The worker's clock at clockAt.
+	clockAt       time.Duration
+	leaseUntil    time.Duration // Latest lease deadline ever sent, by the worker's clock.
+	answeredAt    time.Duration
+	lastEndSeen   uint64 // Highest number of an end that was processed.
+	lastEndStored uint64 // Highest number of an end that is in the log.
+	renewalFailed bool   // The next renewal must not acknowledge ends.
 
-	runs     map[briarspring.RunRef]*run
-	orphans  map[briarspring.RunRef]time.Duration // Runs of unknown workflows and when their stop was sent.
-	reserved briarspring.Resources
-	filling  int64 // Declared processors of tasks that fill, at their pace.
-	serving  int64 // Declared processors of lasting tasks.
+	runs           map[briarspring.RunRef]*run
+	orphans        map[briarspring.RunRef]time.Duration // Runs of unknown tasks, with the time their stop was sent.
+	reserved       briarspring.Resources
+	bestEffortCPU  int64 // Declared millicores of best-effort tasks, scaled by their pace.
+	longRunningCPU int64 // Declared millicores of long-running tasks.
 
-	streak      int // Failed runs since the last one that was done.
-	aside       time.Duration
-	probing     *run
-	pausedUntil time.Duration
-	slow        float64 // Learned factor of run times, one is normal.
-	paceAt      time.Duration
-	pressed     bool // A task that fills presses one that serves.
+	failureStreak    int // Failed runs since the last successful one.
+	quarantinedUntil time.Duration
+	probe            *run
+	pausedUntil      time.Duration
+	slow             float64 // Learned factor of run times; one is normal.
+	pacesDecidedAt   time.Duration
+	interference     bool // A best-effort task interferes with a long-running one.
 }
 
-// worker returns the worker of an ID and makes it when there is none.
+// worker returns the worker with an ID and adds it if it is unknown.
 func (d *Dispatcher) worker(id string) *worker {
 	w := d.workers[id]
 	if w != nil {
@@ -67,16 +68,16 @@
 	w = &worker{
 		id: id, runs: map[briarspring.RunRef]*run{}, orphans: map[briarspring.RunRef]time.Duration{}, slow: 1,
 	}
-	if !d.listed && d.config.Predecessor {
-		w.early = true
+	if !d.workersListed && d.config.Predecessor {
+		w.inherited = true
 	}
 	d.workers[id] = w
-	i, _ := slices.BinarySearchFunc(d.order, id, func(o *worker, id string) int { return cmp.Compare(o.id, id) })
-	d.order = slices.Insert(d.order, i, w)
+	i, _ := slices.BinarySearchFunc(d.workersByID, id, func(o *worker, id string) int { return cmp.Compare(o.id, id) })
+	d.workersByID = slices.Insert(d.workersByID, i, w)
 	return w
 }
 
-// SetWorkers takes the platform's list of the data centre's workers.
+// SetWorkers applies the platform's list of the data centre's workers.
 func (d *Dispatcher) SetWorkers(now time.Duration, entries []briarspring.WorkerEntry) {
 	d.now = now
 	present := map[string]bool{}
@@ -84,28 +85,28 @@
 		present[e.ID] = true
 		d.setWorker(e)
 	}
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.listed && !present[w.id] {
 			w.listed = false
-			w.goneAt = now
-			d.changed = true
+			w.unlistedAt = now
+			d.needsPlan = true
 			d.logger.Info("worker left the list", "worker", w.id, "runs", len(w.runs))
 		}
 	}
-	d.listed = true
+	d.workersListed = true
 	d.forgetWorkers()
 }
 
-// keepGone is how long a worker stays known that has left the list: entries that
-// lapse during an outage of the log are back within seconds, and what a worker
-// tells of its ends must be taken in once only.
-const keepGone = 5 * time.Minute
+// unlistedRetention is how long a worker stays known after it left the list:
+// entries that expire during an outage of the log return within seconds, and
+// each end must be processed only once.
+const unlistedRetention = 5 * time.Minute
 
-// forgetWorkers drops workers that left the list long ago and hold nothing. It
-// keeps memory bounded while hosts are replaced all the time.
+// forgetWorkers drops workers that left the list long ago and have no runs. It
+// bounds memory while hosts are replaced continuously.
 func (d *Dispatcher) forgetWorkers() {
-	d.order = slices.DeleteFunc(d.order, func(w *worker) bool {
-		if w.listed || len(w.runs) > 0 || len(w.orphans) > 0 || w.goneAt == 0 || d.now-w.goneAt < keepGone {
+	d.workersByID = slices.DeleteFunc(d.workersByID, func(w *worker) bool {
+		if w.listed || len(w.runs) > 0 || len(w.orphans) > 0 || w.unlistedAt == 0 || d.now-w.unlistedAt < unlistedRetention {
 			return false
 		}
 		delete(d.workers, w.id)
@@ -119,22 +120,22 @@
 func (d *Dispatcher) setWorker(e briarspring.WorkerEntry) {
 	w := d.worker(e.ID)
 	if !w.listed {
-		d.changed = true
+		d.needsPlan = true
 		d.logger.Info("worker listed", "worker", e.ID, "capacity", e.Capacity.String(), "rack", e.Rack, "draining", e.Draining)
 	} else if e.Draining != w.entry.Draining {
-		d.changed = true
+		d.needsPlan = true
 		d.logger.Info("worker's state changed", "worker", e.ID, "draining", e.Draining, "remaining-ms", e.Remaining.Milliseconds())
 	}
 	w.listed = true
-	w.goneAt = 0
+	w.unlistedAt = 0
 	w.entry = e
-	d.noteLeaving(w)
+	d.updateLeaveTime(w)
 }
 
-// Workers returns the IDs and addresses of the workers that need an agent.
+// Workers returns the addresses of the workers that need an agent, by ID.
 func (d *Dispatcher) Workers() map[string]string {
 	list := map[string]string{}
-	for _, w := range d.order {
+	for _, w := range d.workersByID {
 		if w.entry.Address != "" && (w.listed || len(w.runs) > 0) {
 			list[w.id] = w.entry.Address
 		}
@@ -142,33 +143,33 @@
 	return list
 }
 
-// clockNow returns an estimate of the worker's clock.
+// clockNow estimates the present reading of the worker's clock.
 func (w *worker) clockNow(now time.Duration) time.Duration { return w.clock + now - w.clockAt }
 
-// free returns what is not reserved.
+// free returns the unreserved capacity.
 func (w *worker) free() briarspring.Resources { return w.entry.Capacity.Sub(w.reserved) }
 
-// usable reports whether the worker may get starts.
+// usable reports whether the worker may get starts, apart from quarantine.
 func (w *worker) usable(now time.Duration) bool {
 	return w.listed && !w.entry.Draining && w.fenced && len(w.orphans) == 0 &&
-		now-w.answeredAt < silentAfter && now >= w.pausedUntil
+		now-w.answeredAt < silenceLimit && now >= w.pausedUntil
 }
 
-// lapsesAt returns the time at which the lease has certainly ended, unless
-// another owner renewed it.
-func (w *worker) lapsesAt() time.Duration {
-	left := w.until - w.clock
-	return w.clockAt + time.Duration(float64(left)*(1+clockSkew)) + lapseMargin
+// leaseEnd returns the time at which the lease has certainly ended, unless
+// another owner renews it.
+func (w *worker) leaseEnd() time.Duration {
+	left := w.leaseUntil - w.clock
+	return w.clockAt + time.Duration(float64(left)*(1+clockSkew)) + leaseMargin
 }
 
-// runState tells what is known of a run.
+// runState is what is known about whether a run is alive.
 type runState uint8
 
 const (
-	runOrdered runState = iota + 1 // The start was sent and not answered yet.
-	runAlive                       // The worker accepted the start or listed the run.
-	runDoubt                       // The start got no answer.
-	runUnknown                     // An earlier owner recorded it.
+	runOrdered    runState = iota + 1 // The start was sent and is not answered yet.
+	runAlive                          // The worker accepted the start or listed the run.
+	runUnanswered                     // The start was not answered; the run may be alive.
+	runUnknown                        // An earlier owner recorded the run.
 )
 
 // String returns the state in kebab case.
@@ -180,77 +181,80 @@
 	return "invalid"
 }
 
-// run is one start of a task.
+// run is one attempt to run a task.
 type run struct {
-	ref        briarspring.RunRef
-	task       *task
-	worker     *worker
-	state      runState
-	since      time.Duration // When it was ordered.
-	settledAt  time.Duration // When the worker's answer to the start arrived, or was given up.
-	until      time.Duration // Latest carrying out of the start, by the worker's clock.
-	listed     bool          // Was seen in a list of running tasks.
-	stopping   bool
-	stopAt     time.Duration // When the last stop was sent.
-	stopped    time.Duration // When a stop was answered.
-	checkpoint string
-	percent    int
-	percentAt  time.Duration
-	usage      float64
-	usageAt    time.Duration
-	pace       int // Decided.
-	paceSent   int
-	paceAt     time.Duration
-	slowedAt   time.Duration // When its pace became so slow that it is better off elsewhere.
-	pacedAt    time.Duration // When its pace was last changed.
-	weight     int64         // What it adds to the worker's filling.
+	ref             briarspring.RunRef
+	task            *task
+	worker          *worker
+	state           runState
+	since           time.Duration // When it was ordered.
+	startAnsweredAt time.Duration // When the start was answered, or given up.
+	startBy         time.Duration // Deadline for carrying out the start, by the worker's clock.
+	listed          bool          // Was in a list of running tasks.
+	stopping        bool
+	stopSentAt      time.Duration // When the last stop was sent.
+	stopAnsweredAt  time.Duration // When a stop was answered; zero for never.
+	checkpoint      string
+	progress        int
+	progressAt      time.Duration
+	usage           float64
+	usageAt         time.Duration
+	pace            int // Last decision, in percent of full speed.
+	paceSent        int // Last pace sent to the worker.
+	paceSentAt      time.Duration
+	slowedAt        time.Duration // When its pace fell to slowPercent or below.
+	paceChangedAt   time.Duration // When its pace last changed.
+	bestEffortCPU   int64         // Its part of the worker's bestEffortCPU.
 }
 
 const fullSpeed = 100
 
-// addRun books a run on its worker.
+// addRun reserves what a run needs on its worker.
 func (d *Dispatcher) addRun(r *run) {
 	r.worker.runs[r.ref] = r
-	r.weight = r.worker.book(r.task.step.spec())
-	r.task.started(r)
-	d.changed = true
+	r.bestEffortCPU = r.worker.reserve(r.task.step.spec())
+	r.task.attachRun(r)
+	d.needsPlan = true
 }
 
-// book holds what a task needs, and returns what it adds to the worker's filling.
-func (w *worker) book(spec *briarspring.Step) (weight int64) {
+// reserve reserves what a task needs and returns its part of the worker's
+// bestEffortCPU.
+func (w *worker) reserve(spec *briarspring.Step) (bestEffortCPU int64) {
 	w.reserved = w.reserved.Add(reservation(spec))
 	if spec.Fills {
-		weight = spec.Resources.MilliCPU()
+		bestEffortCPU = spec.Resources.MilliCPU()
 	}
-	w.filling += weight
+	w.bestEffortCPU += bestEffortCPU
 	if spec.Lasting {
-		w.serving += spec.Resources.MilliCPU()
+		w.longRunningCPU += spec.Resources.MilliCPU()
 	}
-	return weight
+	return bestEffortCPU
 }
 
-// release frees what a task holds; weight is its share of the worker's filling.
-func (w *worker) release(spec *briarspring.Step, weight int64) {
+// release frees what a task has reserved, including its part of the worker's
+// bestEffortCPU.
+func (w *worker) release(spec *briarspring.Step, bestEffortCPU int64) {
 	w.reserved = w.reserved.Sub(reservation(spec))
-	w.filling -= weight
+	w.bestEffortCPU -= bestEffortCPU
 	if spec.Lasting {
-		w.serving -= spec.Resources.MilliCPU()
+		w.longRunningCPU -= spec.Resources.MilliCPU()
 	}
 }
 
-// removeRun frees what a run holds.
+// removeRun frees what a run has reserved.
 func (d *Dispatcher) removeRun(r *run) {
 	w := r.worker
 	delete(w.runs, r.ref)
-	w.release(r.task.step.spec(), r.weight)
-	if w.probing == r {
-		w.probing = nil
+	w.release(r.task.step.spec(), r.bestEffortCPU)
+	if w.probe == r {
+		w.probe = nil
 	}
-	r.task.stopped(d.now, r)
-	d.changed = true
+	r.task.detachRun(d.now, r)
+	d.needsPlan = true
 }
 
-// reservation returns what a task holds of a worker's capacity.
+// reservation returns what a task reserves of a worker's capacity. Best-effort
+// tasks reserve no processors.
 func reservation(s *briarspring.Step) briarspring.Resources {
 	if !s.Fills {
 		return s.Resources
