--- a/forwarder/conn.go
+++ b/forwarder/conn.go
@@ -9,105 +9,106 @@
 	"time"
 )
 
-// NoConnectionError tells that this gateway's connections to an executor are
-// all in use.
+// NoConnectionError is returned when all of this gateway's connections to an
+// executor are in use.
 type NoConnectionError struct {
 	Address string
-	Share   int
+	Limit   int
 }
 
 // Error implements error.
 func (e *NoConnectionError) Error() string {
-	return fmt.Sprintf("all %d connections to %s are in use", e.Share, e.Address)
+	return fmt.Sprintf("all %d connections to %s are in use", e.Limit, e.Address)
 }
 
-// connBudget bounds this gateway's connections to one executor, counting each
-// until the executor has closed its side too.
-type connBudget struct {
+// connLimit limits this gateway's connections to one executor. A connection
+// counts until the executor has closed its side too.
+type connLimit struct {
 	mu    sync.Mutex
-	share int
+	limit int
 	used  int
 }
 
-func (b *connBudget) take() bool {
+func (b *connLimit) tryAcquire() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.used >= b.share {
+	if b.used >= b.limit {
 		return false
 	}
 	b.used++
 	return true
 }
 
-func (b *connBudget) give() {
+func (b *connLimit) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.used--
 }
 
-func (b *connBudget) setShare(n int) {
+func (b *connLimit) setLimit(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.share = n
+	b.limit = n
 }
 
-// dial connects to an executor within this gateway's share.
+// dial connects to an executor within this gateway's connection limit.
 func (f *Forwarder) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	f.mu.Lock()
-	b := f.slots[address]
+	b := f.connLimits[address]
 	f.mu.Unlock()
 	if b == nil {
 		return nil, &NoConnectionError{Address: address}
 	}
-	if !b.take() {
-		return nil, &NoConnectionError{Address: address, Share: b.share}
+	if !b.tryAcquire() {
+		return nil, &NoConnectionError{Address: address, Limit: b.limit}
 	}
 	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, network, address)
 	if err != nil {
-		b.give()
+		b.release()
 		return nil, err
 	}
-	lc := &lingerConn{TCPConn: c.(*net.TCPConn), ended: make(chan struct{})}
-	lc.whenEnded(b.give)
+	lc := &lingerConn{TCPConn: c.(*net.TCPConn), peerClosed: make(chan struct{})}
+	lc.onPeerClose(b.release)
 	return lc, nil
 }
 
-// lingerConn closes its own side first and then waits for the other side to
-// close. An executor closes its side when it has ended the request, so the end
-// of a request that was given up is known.
+// lingerConn closes its own side first and then waits for the peer to close. An
+// executor closes its side when it has finished the request, so the gateway
+// learns when an abandoned request has ended.
 type lingerConn struct {
 	*net.TCPConn
-	once  sync.Once
-	ended chan struct{}
+	once       sync.Once
+	peerClosed chan struct{}
 }
 
-// Close closes the writing side; the rest happens when the executor closes.
+// Close closes the write side. The connection is closed fully once the executor
+// has closed its side.
 func (c *lingerConn) Close() error {
 	var err error
 	c.once.Do(func() {
 		err = c.CloseWrite()
-		go c.linger()
+		go c.awaitPeerClose()
 	})
 	return err
 }
 
-// keepAliveIdle and the probes after it find out that the executor's host died.
+// lingerKeepAlive detects that the executor's host has died.
 var lingerKeepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: 2 * time.Second, Count: 3}
 
-func (c *lingerConn) linger() {
-	defer close(c.ended)
+func (c *lingerConn) awaitPeerClose() {
+	defer close(c.peerClosed)
 	_ = c.SetKeepAliveConfig(lingerKeepAlive)
 	_ = c.SetReadDeadline(time.Time{})
 	_, _ = io.Copy(io.Discard, c.TCPConn)
 	c.TCPConn.Close()
 }
 
-// whenEnded calls f once the connection has ended on both sides. The connection
-// is closed or will be.
-func (c *lingerConn) whenEnded(f func()) {
+// onPeerClose calls f once both sides of the connection are closed. The caller
+// has called Close or will do so.
+func (c *lingerConn) onPeerClose(f func()) {
 	go func() {
-		<-c.ended
+		<-c.peerClosed
 		f()
 	}()
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarder takes callers' HTTP requests, sends each to the executor
-// that the router chose, and answers truthfully whether it ran.
+// Package forwarder forwards callers' HTTP requests to the executors that the
+// router chooses, and reports in each response whether the request was run.
 package forwarder
 
 import (
@@ -24,15 +24,15 @@
 	Router         router.Config
 	DefaultTimeout time.Duration
 	MaxTimeout     time.Duration
-	MaxBody        int64   // Bytes of one request's body.
-	MaxBuffered    int64   // Bytes of all bodies that are held at once.
-	RetryShare     float64 // Retries allowed for each fresh request.
-	CallerRate     float64 // Requests a second from one caller's address; zero for no bound.
+	MaxBody        int64   // Bytes of a request body.
+	MaxBuffered    int64   // Bytes of all request bodies held in memory.
+	RetryShare     float64 // Retries allowed per new request.
+	CallerRate     float64 // Requests per second from one caller's address; zero for no limit.
 	Elsewhere      []Elsewhere
 	Logger         hclog.Logger
 }
 
-// Elsewhere is a gateway of another data centre.
+// Elsewhere is a gateway in another data centre.
 type Elsewhere struct {
 	DataCentre string
 	Address    string // "IP:port".
@@ -45,51 +45,51 @@
 	Prefix string
 }
 
-// Forwarder is a gateway's request path.
+// Forwarder is the HTTP handler of a gateway.
 type Forwarder struct {
-	config    Config
-	logger    hclog.Logger
-	transport *http.Transport
-	spill     *http.Transport
-	buffered  atomic.Int64
-	draining  atomic.Bool
-	counts    counts
-
-	mu       sync.Mutex
-	router   *router.Router
-	services []Service // Longest prefix first.
-	waiters  map[string]chan router.Assignment
-	slots    map[string]*connBudget
-	teams    map[string]*rate.Limiter
-	callers  callerLimits
-	budget   *retryBudget
-	nextID   uint64
-	boot     string
-	state    State
+	config          Config
+	logger          hclog.Logger
+	transport       *http.Transport
+	remoteTransport *http.Transport
+	buffered        atomic.Int64
+	draining        atomic.Bool
+	counts          counts
+
+	mu           sync.Mutex
+	router       *router.Router
+	services     []Service // Longest prefix first.
+	waiters      map[string]chan router.Assignment
+	connLimits   map[string]*connLimit
+	teamLimiters map[string]*rate.Limiter
+	callers      callerLimits
+	budget       *retryBudget
+	nextID       uint64
+	bootID       string
+	state        State
 }
 
-// State tells which state of the scheduler is in force.
+// State identifies the scheduler state that the forwarder uses.
 type State struct {
 	ConfigOffset    uint64
 	PlacementOffset uint64
 	Updated         time.Time
 }
 
-// New returns a forwarder that knows no service yet.
+// New returns a forwarder without services; Apply adds them.
 func New(c Config) *Forwarder {
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
 	}
 	f := &Forwarder{
 		config: c, logger: c.Logger.Named("forwarder"), router: router.New(c.Router),
-		waiters: map[string]chan router.Assignment{},
-		slots:   map[string]*connBudget{},
-		teams:   map[string]*rate.Limiter{},
-		budget:  newRetryBudget(c.RetryShare),
-		boot:    newBootID(),
+		waiters:      map[string]chan router.Assignment{},
+		connLimits:   map[string]*connLimit{},
+		teamLimiters: map[string]*rate.Limiter{},
+		budget:       newRetryBudget(c.RetryShare),
+		bootID:       newBootID(),
 	}
 	f.transport = f.newTransport(f.dial)
-	f.spill = f.newTransport(nil)
+	f.remoteTransport = f.newTransport(nil)
 	return f
 }
 
@@ -109,30 +109,31 @@
 	}
 }
 
-// Drain makes every answer ask its caller to connect elsewhere.
+// Drain adds "Connection: close" to every response, so that callers reconnect to
+// another gateway.
 func (f *Forwarder) Drain() { f.draining.Store(true) }
 
-// ServeHTTP answers one caller's request.
+// ServeHTTP handles a caller's request.
 func (f *Forwarder) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	f.counts.requests.Add(1)
 	if f.draining.Load() {
 		rw.Header().Set("Connection", "close")
 	}
-	q, fault := f.parse(r)
+	q, refused := f.parse(r)
 	rw.Header().Set(briarspring.HeaderRequestID, q.id)
-	if fault != nil {
-		f.refuse(rw, q, *fault)
+	if refused != nil {
+		f.refuse(rw, q, *refused)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
-	if fault := f.admit(q); fault != nil {
-		f.refuse(rw, q, *fault)
+	if refused := f.admit(q); refused != nil {
+		f.refuse(rw, q, *refused)
 		return
 	}
-	body, fault := f.readBody(rw, r, q)
-	if fault != nil {
-		f.refuse(rw, q, *fault)
+	body, refused := f.readBody(rw, r, q)
+	if refused != nil {
+		f.refuse(rw, q, *refused)
 		return
 	}
 	defer f.buffered.Add(-int64(len(body)))
@@ -140,26 +141,27 @@
 	f.serve(ctx, rw, r, q)
 }
 
-// call is one caller's request on its way.
+// call is a caller's request in progress.
 type call struct {
 	id         string
 	service    Service
 	idempotent bool
-	hopped     bool
+	forwarded  bool
 	caller     string
 	deadline   time.Time
 	body       []byte
 	tried      []string
 }
 
-// refusal is an answer that tells the request was not run.
+// refusal is a response to a request that was not run.
 type refusal struct {
 	status     int
 	reason     string
 	retryAfter time.Duration
 }
 
-// parse reads a request's headers. The call has an id even after a fault.
+// parse reads a request's headers. The call has an ID even if the request is
+// refused.
 func (f *Forwarder) parse(r *http.Request) (*call, *refusal) {
 	q := &call{id: r.Header.Get(briarspring.HeaderRequestID)}
 	if q.id == "" {
@@ -169,11 +171,11 @@
 		q.id = f.newID()
 		return q, &refusal{status: http.StatusBadRequest, reason: "request id is too long"}
 	}
-	q.hopped = r.Header.Get(briarspring.HeaderHop) != ""
+	q.forwarded = r.Header.Get(briarspring.HeaderHop) != ""
 	q.caller, _, _ = net.SplitHostPort(r.RemoteAddr)
-	timeout, fault := f.timeout(r)
-	if fault != nil {
-		return q, fault
+	timeout, refused := f.timeout(r)
+	if refused != nil {
+		return q, refused
 	}
 	q.deadline = time.Now().Add(timeout)
 	switch v := r.Header.Get(briarspring.HeaderIdempotent); v {
@@ -185,7 +187,7 @@
 			status: http.StatusBadRequest, reason: briarspring.HeaderIdempotent + " must be true or false",
 		}
 	}
-	service, ok := f.find(r.URL.Path)
+	service, ok := f.findService(r.URL.Path)
 	if !ok {
 		return q, &refusal{status: http.StatusNotFound, reason: "no service answers for this path"}
 	}
@@ -209,7 +211,7 @@
 	return min(d, f.config.MaxTimeout), nil
 }
 
-func (f *Forwarder) find(path string) (Service, bool) {
+func (f *Forwarder) findService(path string) (Service, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.services {
@@ -220,8 +222,8 @@
 	return Service{}, false
 }
 
-// readBody holds the whole body before a slot is taken, so that a caller that
-// sends slowly holds none.
+// readBody reads the whole body before a slot is acquired, so that a caller that
+// sends slowly doesn't occupy one.
 func (f *Forwarder) readBody(rw http.ResponseWriter, r *http.Request, q *call) ([]byte, *refusal) {
 	if r.Body == nil || r.ContentLength == 0 {
 		return nil, nil
@@ -230,9 +232,9 @@
 		return nil, &refusal{status: http.StatusRequestEntityTooLarge, reason: "body is too large"}
 	}
 	if err := http.NewResponseController(rw).SetReadDeadline(q.deadline); err != nil {
-		f.logger.Debug("read deadline can't be set", "error", err)
+		f.logger.Debug("can't set read deadline", "error", err)
 	}
-	defer http.NewResponseController(rw).SetReadDeadline(time.Time{}) //nolint:errcheck // As above.
+	defer http.NewResponseController(rw).SetReadDeadline(time.Time{}) //nolint:errcheck // The error was logged above.
 	body, err := io.ReadAll(http.MaxBytesReader(rw, r.Body, f.config.MaxBody))
 	if err != nil {
 		return nil, bodyRefusal(err)
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -23,22 +23,22 @@
 	"briarspring/router"
 )
 
-// upstream is an executor under the test's control.
+// upstream is a fake executor.
 type upstream struct {
 	address string
 
-	mu        sync.Mutex
-	runs      map[string]int
-	inFlight  atomic.Int64
-	most      atomic.Int64
-	conns     atomic.Int64
-	mostConns atomic.Int64
+	mu          sync.Mutex
+	runs        map[string]int
+	inFlight    atomic.Int64
+	maxInFlight atomic.Int64
+	conns       atomic.Int64
+	maxConns    atomic.Int64
 }
 
 func newUpstream(t *testing.T, handler func(u *upstream, rw http.ResponseWriter, r *http.Request)) *upstream {
 	u := &upstream{runs: map[string]int{}}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		raise(&u.most, u.inFlight.Add(1))
+		storeMax(&u.maxInFlight, u.inFlight.Add(1))
 		defer u.inFlight.Add(-1)
 		u.mu.Lock()
 		u.runs[r.Header.Get(briarspring.HeaderRequestID)]++
@@ -48,7 +48,7 @@
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		switch state {
 		case http.StateNew:
-			raise(&u.mostConns, u.conns.Add(1))
+			storeMax(&u.maxConns, u.conns.Add(1))
 		case http.StateClosed:
 			u.conns.Add(-1)
 		}
@@ -59,12 +59,12 @@
 	return u
 }
 
-func raise(most *atomic.Int64, n int64) {
-	for old := most.Load(); n > old && !most.CompareAndSwap(old, n); old = most.Load() {
+func storeMax(maximum *atomic.Int64, n int64) {
+	for old := maximum.Load(); n > old && !maximum.CompareAndSwap(old, n); old = maximum.Load() {
 	}
 }
 
-func (u *upstream) count(id string) int {
+func (u *upstream) runCount(id string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.runs[id]
@@ -74,7 +74,7 @@
 	return router.Executor{ID: id, Service: "ledger", Address: u.address, Slots: 8, Connections: 64}
 }
 
-// echo answers with the request's id and body.
+// echo responds with the request's ID and body.
 func echo(_ *upstream, rw http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	id := r.Header.Get(briarspring.HeaderRequestID)
@@ -101,17 +101,17 @@
 	return f, server.URL
 }
 
-// answer is what a caller saw.
-type answer struct {
+// response is the response that a caller got.
+type response struct {
 	status  int
 	outcome briarspring.Outcome
 	header  http.Header
 	body    string
-	err     error // Of reading the body.
+	err     error // Error while reading the body.
 }
 
-// ask sends a request; headers are name, value, name, value.
-func ask(t *testing.T, method, url, id, body string, headers ...string) answer {
+// sendRequest sends a request; headers are alternating names and values.
+func sendRequest(t *testing.T, method, url, id, body string, headers ...string) response {
 	t.Helper()
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	require.NoError(t, err)
@@ -123,13 +123,13 @@
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return answer{
+	return response{
 		status: resp.StatusCode, header: resp.Header, body: string(data), err: err,
 		outcome: briarspring.Outcome(resp.Header.Get(briarspring.HeaderOutcome)),
 	}
 }
 
-func assertAnswer(t *testing.T, a answer, status int, outcome briarspring.Outcome) {
+func assertResponse(t *testing.T, a response, status int, outcome briarspring.Outcome) {
 	t.Helper()
 	assert.Equal(t, status, a.status, a.body)
 	assert.Equal(t, outcome, a.outcome, a.body)
@@ -139,35 +139,35 @@
 	t.Run("served", func(t *testing.T) {
 		u := newUpstream(t, echo)
 		_, url := newGateway(t, nil, u.executor("a"))
-		a := ask(t, http.MethodPost, url+"/ledger/read", "r1", "receipt")
-		assertAnswer(t, a, http.StatusOK, briarspring.OutcomeServed)
+		a := sendRequest(t, http.MethodPost, url+"/ledger/read", "r1", "receipt")
+		assertResponse(t, a, http.StatusOK, briarspring.OutcomeServed)
 		assert.Equal(t, "r1:receipt", a.body)
 	})
 	t.Run("unknown service", func(t *testing.T) {
 		_, url := newGateway(t, nil)
-		assertAnswer(t, ask(t, http.MethodGet, url+"/other", "r1", ""), http.StatusNotFound, briarspring.OutcomeNotRun)
+		assertResponse(t, sendRequest(t, http.MethodGet, url+"/other", "r1", ""), http.StatusNotFound, briarspring.OutcomeNotRun)
 	})
 	t.Run("bad timeout", func(t *testing.T) {
 		_, url := newGateway(t, nil)
-		a := ask(t, http.MethodGet, url+"/ledger/", "r1", "", briarspring.HeaderTimeout, "soon")
-		assertAnswer(t, a, http.StatusBadRequest, briarspring.OutcomeNotRun)
+		a := sendRequest(t, http.MethodGet, url+"/ledger/", "r1", "", briarspring.HeaderTimeout, "soon")
+		assertResponse(t, a, http.StatusBadRequest, briarspring.OutcomeNotRun)
 	})
 	t.Run("bad idempotence", func(t *testing.T) {
 		_, url := newGateway(t, nil)
-		a := ask(t, http.MethodGet, url+"/ledger/", "r1", "", briarspring.HeaderIdempotent, "maybe")
-		assertAnswer(t, a, http.StatusBadRequest, briarspring.OutcomeNotRun)
+		a := sendRequest(t, http.MethodGet, url+"/ledger/", "r1", "", briarspring.HeaderIdempotent, "maybe")
+		assertResponse(t, a, http.StatusBadRequest, briarspring.OutcomeNotRun)
 	})
 	t.Run("body too large", func(t *testing.T) {
 		u := newUpstream(t, echo)
 		_, url := newGateway(t, nil, u.executor("a"))
-		a := ask(t, http.MethodPost, url+"/ledger/", "r1", strings.Repeat("x", 2<<20))
-		assertAnswer(t, a, http.StatusRequestEntityTooLarge, briarspring.OutcomeNotRun)
-		assert.Zero(t, u.count("r1"))
+		a := sendRequest(t, http.MethodPost, url+"/ledger/", "r1", strings.Repeat("x", 2<<20))
+		assertResponse(t, a, http.StatusRequestEntityTooLarge, briarspring.OutcomeNotRun)
+		assert.Zero(t, u.runCount("r1"))
 	})
 	t.Run("no executor", func(t *testing.T) {
 		_, url := newGateway(t, nil)
-		a := ask(t, http.MethodGet, url+"/ledger/", "r1", "")
-		assertAnswer(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
+		a := sendRequest(t, http.MethodGet, url+"/ledger/", "r1", "")
+		assertResponse(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
 		assert.NotEmpty(t, a.header.Get("Retry-After"))
 	})
 	t.Run("an answer to another request", func(t *testing.T) {
@@ -176,10 +176,10 @@
 			fmt.Fprint(rw, "somebody else's receipt")
 		})
 		_, url := newGateway(t, nil, u.executor("a"))
-		a := ask(t, http.MethodPost, url+"/ledger/", "r1", "x", briarspring.HeaderIdempotent, "true")
-		assertAnswer(t, a, http.StatusBadGateway, briarspring.OutcomeUnknown)
+		a := sendRequest(t, http.MethodPost, url+"/ledger/", "r1", "x", briarspring.HeaderIdempotent, "true")
+		assertResponse(t, a, http.StatusBadGateway, briarspring.OutcomeUnknown)
 		assert.NotContains(t, a.body, "somebody else")
-		assert.Equal(t, 1, u.count("r1"), "the first attempt may still run")
+		assert.Equal(t, 1, u.runCount("r1"), "the first attempt may still run")
 	})
 	t.Run("upstream says not run", func(t *testing.T) {
 		first := newUpstream(t, func(_ *upstream, rw http.ResponseWriter, r *http.Request) {
@@ -191,13 +191,13 @@
 		_, url := newGateway(t, nil, first.executor("a"), second.executor("b"))
 		for i := range 8 {
 			id := fmt.Sprintf("r%d", i)
-			a := ask(t, http.MethodPost, url+"/ledger/", id, "x")
+			a := sendRequest(t, http.MethodPost, url+"/ledger/", id, "x")
 			if a.status == http.StatusOK {
-				assert.Equal(t, 1, second.count(id))
+				assert.Equal(t, 1, second.runCount(id))
 				continue
 			}
-			assertAnswer(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
-			assert.Zero(t, second.count(id), "a refused request must not have run")
+			assertResponse(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
+			assert.Zero(t, second.runCount(id), "a refused request must not have run")
 		}
 	})
 	t.Run("nothing listens", func(t *testing.T) {
@@ -206,12 +206,12 @@
 		l.Close()
 		dead := router.Executor{ID: "a", Service: "ledger", Address: l.Addr().String(), Slots: 8, Connections: 64}
 		_, url := newGateway(t, nil, dead)
-		a := ask(t, http.MethodPost, url+"/ledger/", "r1", "x")
-		assertAnswer(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
+		a := sendRequest(t, http.MethodPost, url+"/ledger/", "r1", "x")
+		assertResponse(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
 	})
 }
 
-// abort closes the connection without an answer.
+// abort closes the connection without a response.
 func abort(*upstream, http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func TestNonIdempotentRunsAtMostOnce(t *testing.T) {
@@ -226,13 +226,13 @@
 			})
 			other := newUpstream(t, echo)
 			_, url := newGateway(t, nil, u.executor("a"))
-			// A connection that is used again is where net/http repeats by itself.
-			assertAnswer(t, ask(t, method, url+"/ledger/", "warm", ""), http.StatusOK, briarspring.OutcomeServed)
+			// net/http retries on its own only on a reused connection.
+			assertResponse(t, sendRequest(t, method, url+"/ledger/", "warm", ""), http.StatusOK, briarspring.OutcomeServed)
 			broken.Store(true)
-			a := ask(t, method, url+"/ledger/", "r1", "", "Idempotency-Key", "k1")
-			assertAnswer(t, a, http.StatusBadGateway, briarspring.OutcomeUnknown)
-			assert.Equal(t, 1, u.count("r1"))
-			assert.Zero(t, other.count("r1"))
+			a := sendRequest(t, method, url+"/ledger/", "r1", "", "Idempotency-Key", "k1")
+			assertResponse(t, a, http.StatusBadGateway, briarspring.OutcomeUnknown)
+			assert.Equal(t, 1, u.runCount("r1"))
+			assert.Zero(t, other.runCount("r1"))
 		})
 	}
 	t.Run("upstream frozen past the deadline", func(t *testing.T) {
@@ -244,16 +244,16 @@
 			echo(u, rw, r)
 		})
 		_, url := newGateway(t, nil, u.executor("a"))
-		a := ask(t, http.MethodPost, url+"/ledger/", "slow", "x", briarspring.HeaderTimeout, "100ms")
-		assertAnswer(t, a, http.StatusGatewayTimeout, briarspring.OutcomeUnknown)
+		a := sendRequest(t, http.MethodPost, url+"/ledger/", "slow", "x", briarspring.HeaderTimeout, "100ms")
+		assertResponse(t, a, http.StatusGatewayTimeout, briarspring.OutcomeUnknown)
 		close(release)
-		// The late answer must reach nobody.
+		// The late response must not reach any caller.
 		for i := range 20 {
 			id := fmt.Sprintf("after-%d", i)
-			a := ask(t, http.MethodPost, url+"/ledger/", id, "x")
+			a := sendRequest(t, http.MethodPost, url+"/ledger/", id, "x")
 			assert.Equal(t, id+":x", a.body)
 		}
-		assert.Equal(t, 1, u.count("slow"))
+		assert.Equal(t, 1, u.runCount("slow"))
 	})
 }
 
@@ -266,7 +266,7 @@
 		u.executor("a"), u.executor("b"), u.executor("c"))
 	const requests = 100
 	for i := range requests {
-		ask(t, http.MethodGet, url+"/ledger/", fmt.Sprintf("r%d", i), "", briarspring.HeaderIdempotent, "true")
+		sendRequest(t, http.MethodGet, url+"/ledger/", fmt.Sprintf("r%d", i), "", briarspring.HeaderIdempotent, "true")
 	}
 	assert.LessOrEqual(t, f.Counts().Retries, uint64(requests/10+2))
 	assert.Positive(t, f.Counts().Retries)
@@ -280,13 +280,13 @@
 				if !chunked {
 					rw.Header().Set("Content-Length", "1000000")
 				}
-				rw.Write(make([]byte, 100000)) //nolint:errcheck // Cut below.
+				rw.Write(make([]byte, 100000)) //nolint:errcheck // The response is cut off below.
 				rw.(http.Flusher).Flush()
 				panic(http.ErrAbortHandler)
 			})
 			_, url := newGateway(t, nil, u.executor("a"))
-			a := ask(t, http.MethodGet, url+"/ledger/", "r1", "")
-			assert.Error(t, a.err, "the caller must see that the answer was cut")
+			a := sendRequest(t, http.MethodGet, url+"/ledger/", "r1", "")
+			assert.Error(t, a.err, "the caller must see that the response was cut off")
 		})
 	}
 }
@@ -309,7 +309,7 @@
 	require.NoError(t, err)
 	assert.EqualValues(t, size, n)
 	runtime.ReadMemStats(&after)
-	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(size/8), "the answer is streamed, not held")
+	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(size/8), "the response is streamed, not buffered")
 }
 
 type zeros struct{}
@@ -338,7 +338,7 @@
 	var callers sync.WaitGroup
 	for i := range 200 {
 		callers.Go(func() {
-			// Short timeouts leave requests behind that the executor still runs.
+			// Short timeouts abandon requests that the executor still runs.
 			ctx, cancel := context.WithTimeout(context.Background(), time.Duration(5+i%60)*time.Millisecond)
 			defer cancel()
 			r, _ := http.NewRequestWithContext(ctx, http.MethodPost, urls[i%gateways]+"/ledger/", bytes.NewReader(nil))
@@ -348,9 +348,9 @@
 		})
 	}
 	callers.Wait()
-	assert.LessOrEqual(t, u.most.Load(), int64(8))
-	assert.LessOrEqual(t, u.mostConns.Load(), int64(64))
-	assert.Positive(t, u.most.Load())
+	assert.LessOrEqual(t, u.maxInFlight.Load(), int64(8))
+	assert.LessOrEqual(t, u.maxConns.Load(), int64(64))
+	assert.Positive(t, u.maxInFlight.Load())
 }
 
 func TestSlotStaysTakenUntilUpstreamEnds(t *testing.T) {
@@ -359,11 +359,11 @@
 	e := u.executor("a")
 	e.Slots = 1
 	_, url := newGateway(t, func(c *forwarder.Config) { c.Router.QueueLength = 0 }, e)
-	a := ask(t, http.MethodPost, url+"/ledger/", "r1", "", briarspring.HeaderTimeout, "50ms")
-	assertAnswer(t, a, http.StatusGatewayTimeout, briarspring.OutcomeUnknown)
-	a = ask(t, http.MethodPost, url+"/ledger/", "r2", "", briarspring.HeaderTimeout, "50ms")
-	assertAnswer(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
-	assert.Zero(t, u.count("r2"), "the executor still runs the first request")
+	a := sendRequest(t, http.MethodPost, url+"/ledger/", "r1", "", briarspring.HeaderTimeout, "50ms")
+	assertResponse(t, a, http.StatusGatewayTimeout, briarspring.OutcomeUnknown)
+	a = sendRequest(t, http.MethodPost, url+"/ledger/", "r2", "", briarspring.HeaderTimeout, "50ms")
+	assertResponse(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
+	assert.Zero(t, u.runCount("r2"), "the executor still runs the first request")
 	close(release)
 }
 
@@ -378,7 +378,7 @@
 	})
 	refused := 0
 	for i := range 10 {
-		a := ask(t, http.MethodPost, url+"/ledger/", fmt.Sprintf("r%d", i), "")
+		a := sendRequest(t, http.MethodPost, url+"/ledger/", fmt.Sprintf("r%d", i), "")
 		if a.status == http.StatusTooManyRequests {
 			assert.Equal(t, briarspring.OutcomeNotRun, a.outcome)
 			refused++
@@ -405,9 +405,9 @@
 	_, url := newGateway(t, func(c *forwarder.Config) { c.Router.Rule = router.RuleRandom },
 		leaving.executor("a"), staying.executor("b"))
 	for i := range 40 {
-		ask(t, http.MethodPost, url+"/ledger/", fmt.Sprintf("r%d", i), "")
+		sendRequest(t, http.MethodPost, url+"/ledger/", fmt.Sprintf("r%d", i), "")
 	}
-	assert.LessOrEqual(t, len(leaving.runs), 1, "after its first word it gets no more")
+	assert.LessOrEqual(t, len(leaving.runs), 1, "it gets no more requests after its first response")
 }
 
 func TestPassOnToAnotherDataCentre(t *testing.T) {
@@ -419,13 +419,13 @@
 		})
 		return url
 	}
-	a := ask(t, http.MethodPost, near(t, far)+"/ledger/", "r1", "x")
-	assertAnswer(t, a, http.StatusOK, briarspring.OutcomeServed)
+	a := sendRequest(t, http.MethodPost, near(t, far)+"/ledger/", "r1", "x")
+	assertResponse(t, a, http.StatusOK, briarspring.OutcomeServed)
 	assert.Equal(t, "r1:x", a.body)
-	assert.Equal(t, 1, u.count("r1"))
+	assert.Equal(t, 1, u.runCount("r1"))
 	t.Run("one hop at most", func(t *testing.T) {
-		a := ask(t, http.MethodPost, near(t, near(t, far))+"/ledger/", "r2", "x")
-		assertAnswer(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
-		assert.Zero(t, u.count("r2"))
+		a := sendRequest(t, http.MethodPost, near(t, near(t, far))+"/ledger/", "r2", "x")
+		assertResponse(t, a, http.StatusServiceUnavailable, briarspring.OutcomeNotRun)
+		assert.Zero(t, u.runCount("r2"))
 	})
 }
--- a/forwarder/limits.go
+++ b/forwarder/limits.go
@@ -24,19 +24,19 @@
 	passedOn  atomic.Uint64
 }
 
-// Counts is what the forwarder did since its start.
+// Counts holds the forwarder's counters since its start.
 type Counts struct {
 	Requests  uint64
 	Served    uint64
 	NotRun    uint64
 	Unknown   uint64
 	Retries   uint64
-	Cut       uint64 // Answers that were broken off.
-	Abandoned uint64 // Callers that went away.
-	PassedOn  uint64 // Sent through a gateway of another data centre.
+	Cut       uint64 // Responses that were cut off before their end.
+	Abandoned uint64 // Requests whose caller disconnected.
+	PassedOn  uint64 // Requests answered by a gateway of another data centre.
 }
 
-// Counts returns what the forwarder did since its start.
+// Counts returns the forwarder's counters since its start.
 func (f *Forwarder) Counts() Counts {
 	return Counts{
 		Requests: f.counts.requests.Load(), Served: f.counts.served.Load(), NotRun: f.counts.notRun.Load(),
@@ -45,14 +45,14 @@
 	}
 }
 
-// retryBudget allows retries as a share of fresh requests.
+// retryBudget limits retries to a share of new requests.
 type retryBudget struct {
 	mu     sync.Mutex
 	share  float64
 	tokens float64
 }
 
-// retryBurst bounds the retries that are saved up.
+// retryBurst is the largest number of retries that the budget accumulates.
 const retryBurst = 10
 
 func newRetryBudget(share float64) *retryBudget { return &retryBudget{share: share, tokens: 1} }
@@ -79,10 +79,11 @@
 	return true
 }
 
-// maxCallers bounds the callers whose rate is remembered.
+// maxCallers limits the memory that rate limiters take. Above it, all of them
+// are reset.
 const maxCallers = 10000
 
-// callerLimits bounds the requests of each caller's address.
+// callerLimits limits the request rate of each caller's address.
 type callerLimits struct {
 	limiters map[string]*rate.Limiter
 }
@@ -102,7 +103,8 @@
 	return x.Allow()
 }
 
-// admit applies the caller's and the team's limits.
+// admit applies the rate limits of the caller and of the service's team. A
+// request that another gateway forwarded isn't counted again for the team.
 func (f *Forwarder) admit(q *call) *refusal {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +113,7 @@
 			status: http.StatusTooManyRequests, reason: "caller sends more requests than allowed", retryAfter: time.Second,
 		}
 	}
-	if team := f.teams[q.service.Team]; team != nil && !q.hopped && !team.Allow() {
+	if team := f.teamLimiters[q.service.Team]; team != nil && !q.forwarded && !team.Allow() {
 		return &refusal{
 			status: http.StatusTooManyRequests, reason: "team " + q.service.Team + " is over its quota", retryAfter: time.Second,
 		}
@@ -125,10 +127,11 @@
 	return hex.EncodeToString(b)
 }
 
-// newID returns an id for a request that came without one.
+// newID returns an ID for a request whose own ID is missing or too
+// long.
 func (f *Forwarder) newID() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nextID++
-	return f.boot + "-" + strconv.FormatUint(f.nextID, 10)
+	return f.bootID + "-" + strconv.FormatUint(f.nextID, 10)
 }
--- a/forwarder/send.go
+++ b/forwarder/send.go
@@ -15,35 +15,36 @@
 	"briarspring/router"
 )
 
-// onceBody is a request body that net/http can't read a second time, so that it
-// never sends a request again by itself, whatever the method.
+// onceBody is a request body that net/http can't rewind. This keeps net/http from
+// retrying a request on its own, whatever the method.
 type onceBody struct{ r *bytes.Reader }
 
 func (b *onceBody) Read(p []byte) (int, error) { return b.r.Read(p) }
 func (b *onceBody) Close() error               { return nil }
 
-// try is one sending of a call to an executor.
-type try struct {
-	conn atomic.Pointer[lingerConn] // Not nil once bytes may have been sent.
+// attempt is one attempt to send a call to an executor.
+type attempt struct {
+	conn atomic.Pointer[lingerConn] // Set before any bytes are sent.
 }
 
-// send sends the call to its executor once and passes the answer on.
+// send sends the call to its executor once and handles the response.
 func (f *Forwarder) send(ctx context.Context, rw http.ResponseWriter, r *http.Request, q *call, a router.Assignment) result {
-	t := &try{}
-	out, err := f.outgoing(ctx, r, q, a.Executor.Address, t)
+	t := &attempt{}
+	out, err := f.outgoingRequest(ctx, r, q, a.Executor.Address, t)
 	if err != nil {
 		f.release(a, router.ResultNotRun)
-		return result{notRun: true, reason: "request can't be sent on: " + err.Error()}
+		return result{notRun: true, reason: "request can't be forwarded: " + err.Error()}
 	}
 	resp, err := f.transport.RoundTrip(out)
 	if err != nil {
-		return f.sendFailed(ctx, a, t, err)
+		return f.handleSendError(ctx, a, t, err)
 	}
-	return f.answer(rw, q, a, t, resp)
+	return f.handleResponse(rw, q, a, t, resp)
 }
 
-// outgoing builds the request to an executor. The deadline goes along.
-func (f *Forwarder) outgoing(ctx context.Context, r *http.Request, q *call, address string, t *try) (*http.Request, error) {
+// outgoingRequest builds the request to an executor or to another gateway. Its
+// timeout header holds the time left until the call's deadline.
+func (f *Forwarder) outgoingRequest(ctx context.Context, r *http.Request, q *call, address string, t *attempt) (*http.Request, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if c, ok := info.Conn.(*lingerConn); ok {
@@ -65,7 +66,7 @@
 	return out, nil
 }
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -80,10 +81,11 @@
 	}
 }
 
-// sendFailed sorts the failures of a try: without a connection nothing was
-// sent; after that the executor may have run the request, and its slot stays
-// taken until its side of the connection has closed.
-func (f *Forwarder) sendFailed(ctx context.Context, a router.Assignment, t *try, err error) result {
+// handleSendError handles an attempt that failed without a response. If there was
+// no connection, nothing was sent. Otherwise the executor may have run the
+// request, and the slot stays in use until the executor has closed its side of
+// the connection.
+func (f *Forwarder) handleSendError(ctx context.Context, a router.Assignment, t *attempt, err error) result {
 	conn := t.conn.Load()
 	if conn == nil {
 		outcome := router.ResultFailed
@@ -97,9 +99,9 @@
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		outcome = router.ResultDropped
 	}
-	f.note(a, outcome)
+	f.recordResult(a, outcome)
 	conn.Close()
-	conn.whenEnded(func() { f.free(a) })
+	conn.onPeerClose(func() { f.releaseSlot(a) })
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return result{status: http.StatusGatewayTimeout, reason: "the executor did not answer in time"}
@@ -110,41 +112,43 @@
 	return result{status: http.StatusBadGateway, reason: "the executor broke off before its answer"}
 }
 
-// answer checks that the answer belongs to the call and passes it on.
-func (f *Forwarder) answer(rw http.ResponseWriter, q *call, a router.Assignment, t *try, resp *http.Response) result {
+// handleResponse checks that the response belongs to the call, and streams it to
+// the caller unless the call can be retried.
+func (f *Forwarder) handleResponse(rw http.ResponseWriter, q *call, a router.Assignment, t *attempt, resp *http.Response) result {
 	if resp.Header.Get(briarspring.HeaderLeaving) == "true" {
 		f.mu.Lock()
 		f.router.MarkLeaving(a.Executor.ID)
 		f.mu.Unlock()
 	}
 	if resp.Header.Get(briarspring.HeaderRequestID) != q.id {
-		f.abandon(a, t, resp, router.ResultFailed)
+		f.abortAttempt(a, t, resp, router.ResultFailed)
 		return result{status: http.StatusBadGateway, reason: "the executor answered another request"}
 	}
 	if resp.Header.Get(briarspring.HeaderOutcome) == string(briarspring.OutcomeNotRun) {
-		f.discard(a, t, resp, router.ResultNotRun)
+		f.discardResponse(a, t, resp, router.ResultNotRun)
 		return result{notRun: true, reason: "the executor did not run the request"}
 	}
 	if q.idempotent && retriable(resp.StatusCode) && f.canRetry(q) {
-		f.discard(a, t, resp, router.ResultFailed)
-		return result{ended: true, status: http.StatusBadGateway, reason: "the executor failed: " + resp.Status}
+		f.discardResponse(a, t, resp, router.ResultFailed)
+		return result{executorDone: true, status: http.StatusBadGateway, reason: "the executor failed: " + resp.Status}
 	}
-	f.pass(rw, q, a, t, resp)
+	f.streamResponse(rw, q, a, t, resp)
 	return result{done: true}
 }
 
-// retriable reports whether a status tells of a passing failure.
+// retriable reports whether a status indicates a transient failure.
 func retriable(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// canRetry reports whether a failed answer is worth holding back.
+// canRetry reports whether the call has attempts left and the retry budget has a
+// token, so that a failed response can be withheld from the caller.
 func (f *Forwarder) canRetry(q *call) bool {
-	return len(q.tried)+1 < maxTries && f.budget.available()
+	return len(q.tried)+1 < maxAttempts && f.budget.available()
 }
 
-// pass streams the answer to the caller.
-func (f *Forwarder) pass(rw http.ResponseWriter, q *call, a router.Assignment, t *try, resp *http.Response) {
+// streamResponse streams the executor's response to the caller.
+func (f *Forwarder) streamResponse(rw http.ResponseWriter, q *call, a router.Assignment, t *attempt, resp *http.Response) {
 	header := rw.Header()
 	closing := header.Get("Connection")
 	copyHeaders(header, resp.Header)
@@ -154,11 +158,11 @@
 	header.Set(briarspring.HeaderRequestID, q.id)
 	header.Set(briarspring.HeaderOutcome, string(briarspring.OutcomeServed))
 	rw.WriteHeader(resp.StatusCode)
-	whole, err := copyAnswer(rw, resp.Body)
-	if !whole {
+	complete, err := copyBody(rw, resp.Body)
+	if !complete {
 		f.counts.cut.Add(1)
-		f.logger.Warn("answer broken off", "id", q.id, "executor", a.Executor.ID, "error", err)
-		f.abandon(a, t, resp, router.ResultFailed)
+		f.logger.Warn("response cut off", "id", q.id, "executor", a.Executor.ID, "error", err)
+		f.abortAttempt(a, t, resp, router.ResultFailed)
 		panic(http.ErrAbortHandler)
 	}
 	resp.Body.Close()
@@ -166,27 +170,27 @@
 	f.release(a, router.ResultServed)
 }
 
-// abandon closes the connection of a try and frees the slot once the executor
-// has closed its side.
-func (f *Forwarder) abandon(a router.Assignment, t *try, resp *http.Response, outcome router.Result) {
-	f.note(a, outcome)
+// abortAttempt closes the attempt's connection, and releases the slot once the
+// executor has closed its side.
+func (f *Forwarder) abortAttempt(a router.Assignment, t *attempt, resp *http.Response, outcome router.Result) {
+	f.recordResult(a, outcome)
 	conn := t.conn.Load()
 	if conn == nil {
 		resp.Body.Close()
-		f.free(a)
+		f.releaseSlot(a)
 		return
 	}
 	conn.Close()
 	resp.Body.Close()
-	conn.whenEnded(func() { f.free(a) })
+	conn.onPeerClose(func() { f.releaseSlot(a) })
 }
 
-// discard reads an answer that is not passed on, so that its connection can be
-// used again, and frees the slot.
-func (f *Forwarder) discard(a router.Assignment, t *try, resp *http.Response, outcome router.Result) {
-	_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, copyBuffer))
+// discardResponse reads and drops a response, so that its connection can be
+// reused, and releases the slot.
+func (f *Forwarder) discardResponse(a router.Assignment, t *attempt, resp *http.Response, outcome router.Result) {
+	_, err := io.Copy(io.Discard, io.LimitReader(resp.Body, copyBufferBytes))
 	if err != nil {
-		f.abandon(a, t, resp, outcome)
+		f.abortAttempt(a, t, resp, outcome)
 		return
 	}
 	resp.Body.Close()
--- a/forwarder/serve.go
+++ b/forwarder/serve.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	maxTries   = 3
-	copyBuffer = 32 << 10
+	maxAttempts     = 3
+	copyBufferBytes = 32 << 10
 )
 
-// bodyRefusal maps an error of reading the body; nothing was sent yet.
+// bodyRefusal returns the refusal for an error of reading the request body.
 func bodyRefusal(err error) *refusal {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
@@ -26,7 +26,7 @@
 	return &refusal{status: http.StatusBadRequest, reason: "body did not arrive whole in time"}
 }
 
-// refuse answers that the request was not run.
+// refuse responds that the request was not run.
 func (f *Forwarder) refuse(rw http.ResponseWriter, q *call, x refusal) {
 	f.counts.notRun.Add(1)
 	f.logger.Info("request refused", "id", q.id, "service", q.service.Name, "status", x.status, "reason", x.reason)
@@ -38,73 +38,74 @@
 	http.Error(rw, x.reason, x.status)
 }
 
-// doubt answers that the request may have run.
-func (f *Forwarder) doubt(rw http.ResponseWriter, q *call, status int, reason string) {
+// replyUnknown responds that the request may have run.
+func (f *Forwarder) replyUnknown(rw http.ResponseWriter, q *call, status int, reason string) {
 	f.counts.unknown.Add(1)
-	f.logger.Warn("request's outcome is unknown", "id", q.id, "service", q.service.Name, "status", status, "reason", reason)
+	f.logger.Warn("request outcome unknown", "id", q.id, "service", q.service.Name, "status", status, "reason", reason)
 	rw.Header().Set(briarspring.HeaderOutcome, string(briarspring.OutcomeUnknown))
 	http.Error(rw, reason, status)
 }
 
-// serve sends the request until an executor answers, the tries are used up, or
-// the outcome is unknown.
+// serve sends the request to executors until one responds, no further attempt is
+// allowed, or the outcome is unknown.
 func (f *Forwarder) serve(ctx context.Context, rw http.ResponseWriter, r *http.Request, q *call) {
 	f.budget.deposit()
-	for try := 1; ; try++ {
-		a, fault := f.acquire(ctx, q)
-		if fault != nil {
-			if !f.passOn(ctx, rw, r, q, *fault) {
-				f.refuse(rw, q, *fault)
+	for attempts := 1; ; attempts++ {
+		a, refused := f.acquireSlot(ctx, q)
+		if refused != nil {
+			if !f.forwardToRemote(ctx, rw, r, q, *refused) {
+				f.refuse(rw, q, *refused)
 			}
 			return
 		}
 		f.logger.Info("decision route", "id", q.id, "service", q.service.Name, "executor", a.Executor.ID,
-			"try", try, "reason", a.Reason, "probe", a.Probe)
+			"try", attempts, "reason", a.Reason, "probe", a.Probe)
 		res := f.send(ctx, rw, r, q, a)
 		if res.done {
 			return
 		}
 		q.tried = append(q.tried, a.Executor.ID)
-		if !f.mayRetry(ctx, q, res, try) {
-			f.giveUp(rw, q, res)
+		if !f.mayRetry(ctx, q, res, attempts) {
+			f.replyFailure(rw, q, res)
 			return
 		}
 		f.counts.retries.Add(1)
 	}
 }
 
-// mayRetry reports whether another try is allowed: the last one must certainly
-// have ended, and either not have run or be idempotent.
-func (f *Forwarder) mayRetry(ctx context.Context, q *call, res result, try int) bool {
-	if try >= maxTries || ctx.Err() != nil {
+// mayRetry reports whether another attempt is allowed. Either the last one was
+// certainly not run, or it has certainly ended and the request is idempotent.
+func (f *Forwarder) mayRetry(ctx context.Context, q *call, res result, attempts int) bool {
+	if attempts >= maxAttempts || ctx.Err() != nil {
 		return false
 	}
-	safe := res.notRun || res.ended && q.idempotent
+	safe := res.notRun || res.executorDone && q.idempotent
 	return safe && f.budget.withdraw()
 }
 
-func (f *Forwarder) giveUp(rw http.ResponseWriter, q *call, res result) {
+func (f *Forwarder) replyFailure(rw http.ResponseWriter, q *call, res result) {
 	if res.notRun {
 		f.refuse(rw, q, refusal{status: http.StatusServiceUnavailable, reason: res.reason, retryAfter: time.Second})
 		return
 	}
-	f.doubt(rw, q, res.status, res.reason)
+	f.replyUnknown(rw, q, res.status, res.reason)
 }
 
-// acquire gets a slot for the call, waiting in the queue if need be.
-func (f *Forwarder) acquire(ctx context.Context, q *call) (router.Assignment, *refusal) {
+// acquireSlot acquires a slot for the call, and waits in the queue if none is
+// free.
+func (f *Forwarder) acquireSlot(ctx context.Context, q *call) (router.Assignment, *refusal) {
 	request := router.Request{ID: q.id, Service: q.service.Name, Deadline: q.deadline, Avoid: q.tried}
 	f.mu.Lock()
 	if _, busy := f.waiters[q.id]; busy {
 		f.mu.Unlock()
 		return router.Assignment{}, &refusal{status: http.StatusConflict, reason: "a request with this id is waiting"}
 	}
-	a, no := f.router.Submit(request, time.Now())
-	if a != nil || no != nil {
+	a, refused := f.router.Submit(request, time.Now())
+	if a != nil || refused != nil {
 		f.mu.Unlock()
-		if no != nil {
+		if refused != nil {
 			return router.Assignment{}, &refusal{
-				status: http.StatusServiceUnavailable, reason: no.Reason, retryAfter: no.RetryAfter,
+				status: http.StatusServiceUnavailable, reason: refused.Reason, retryAfter: refused.RetryAfter,
 			}
 		}
 		return *a, nil
@@ -112,10 +113,10 @@
 	ch := make(chan router.Assignment, 1)
 	f.waiters[q.id] = ch
 	f.mu.Unlock()
-	return f.await(ctx, q, request, ch)
+	return f.awaitSlot(ctx, q, request, ch)
 }
 
-func (f *Forwarder) await(ctx context.Context, q *call, request router.Request, ch chan router.Assignment) (router.Assignment, *refusal) {
+func (f *Forwarder) awaitSlot(ctx context.Context, q *call, request router.Request, ch chan router.Assignment) (router.Assignment, *refusal) {
 	select {
 	case a := <-ch:
 		return a, nil
@@ -133,7 +134,8 @@
 	}
 }
 
-// release gives a slot back and wakes the requests that get slots by it.
+// release records a request's result, releases its slot, and wakes the requests
+// that get slots by this.
 func (f *Forwarder) release(a router.Assignment, outcome router.Result) {
 	now := time.Now()
 	f.mu.Lock()
@@ -142,21 +144,21 @@
 	f.wake(f.router.Release(a, now))
 }
 
-// note tells the router how a request ended whose slot is still held.
-func (f *Forwarder) note(a router.Assignment, outcome router.Result) {
+// recordResult records a request's result while its slot stays in use.
+func (f *Forwarder) recordResult(a router.Assignment, outcome router.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.router.Note(a, outcome, time.Now())
 }
 
-// free gives a slot back whose outcome is noted already.
-func (f *Forwarder) free(a router.Assignment) {
+// releaseSlot releases a slot whose result has been recorded.
+func (f *Forwarder) releaseSlot(a router.Assignment) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.wake(f.router.Release(a, time.Now()))
 }
 
-// wake hands assignments to the requests that wait for them.
+// wake delivers assignments to the requests that wait for them.
 func (f *Forwarder) wake(assignments []router.Assignment) {
 	for _, a := range assignments {
 		if ch := f.waiters[a.Request.ID]; ch != nil {
@@ -166,19 +168,19 @@
 	}
 }
 
-// result tells how one try ended when the caller has no answer yet.
+// result is the result of one attempt.
 type result struct {
-	done   bool // The caller has its answer, or went away.
-	notRun bool // The executor did not run the request and never will.
-	ended  bool // The executor certainly has ended the request.
-	status int
-	reason string
+	done         bool // The caller got a response or disconnected.
+	notRun       bool // The executor has not run the request and never will.
+	executorDone bool // The executor has certainly finished the request.
+	status       int
+	reason       string
 }
 
-// copyAnswer streams the executor's answer. It reports whether it was whole; a
-// part of an answer is broken off so that the caller sees it.
-func copyAnswer(rw http.ResponseWriter, body io.Reader) (whole bool, err error) {
-	buffer := make([]byte, copyBuffer)
+// copyBody streams a response body and reports whether it was complete. If not,
+// the caller of copyBody must abort the response so that the client notices.
+func copyBody(rw http.ResponseWriter, body io.Reader) (complete bool, err error) {
+	buffer := make([]byte, copyBufferBytes)
 	flusher, _ := rw.(http.Flusher)
 	for {
 		n, readErr := body.Read(buffer)
@@ -193,7 +195,7 @@
 		if readErr != nil {
 			return false, readErr
 		}
-		if flusher != nil && n < copyBuffer {
+		if flusher != nil && n < copyBufferBytes {
 			flusher.Flush()
 		}
 	}
--- a/forwarder/state.go
+++ b/forwarder/state.go
@@ -11,19 +11,19 @@
 	"briarspring/router"
 )
 
-// Update is what a scheduler tells about services and executors.
+// Update is a scheduler's update of services, executors and quotas.
 type Update struct {
 	ConfigOffset    uint64
 	PlacementOffset uint64
-	Whole           bool // Replaces everything that was known.
+	Whole           bool // Executors that are not listed are removed.
 	Services        []Service
 	Executors       []router.Executor // New or changed.
 	Removed         []string
 	Quotas          []briarspring.Quota
 }
 
-// Apply puts an update in force. One with older offsets than the state in force
-// has no effect, whichever scheduler it came from.
+// Apply applies an update and reports whether it did. It ignores an update with
+// older offsets than the current state, whichever scheduler sent it.
 func (f *Forwarder) Apply(u Update) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -34,7 +34,7 @@
 	f.setServices(u.Services)
 	f.setQuotas(u.Quotas)
 	if u.Whole {
-		f.removeOthers(u.Executors)
+		f.removeExcept(u.Executors)
 	}
 	for _, e := range u.Executors {
 		f.putExecutor(e)
@@ -49,14 +49,14 @@
 	return true
 }
 
-// State returns which state is in force.
+// State returns the current state.
 func (f *Forwarder) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state
 }
 
-// Executors returns the executors that are known.
+// Executors returns all known executors.
 func (f *Forwarder) Executors() []router.Executor {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,48 +71,48 @@
 }
 
 func (f *Forwarder) setQuotas(quotas []briarspring.Quota) {
-	old := f.teams
-	f.teams = map[string]*rate.Limiter{}
+	old := f.teamLimiters
+	f.teamLimiters = map[string]*rate.Limiter{}
 	for _, q := range quotas {
 		if q.RequestsPerSecond() == 0 {
 			continue
 		}
 		limit := rate.Limit(q.RequestsPerSecond())
 		if l := old[q.Team()]; l != nil && l.Limit() == limit {
-			f.teams[q.Team()] = l
+			f.teamLimiters[q.Team()] = l
 			continue
 		}
-		f.teams[q.Team()] = rate.NewLimiter(limit, int(q.RequestsPerSecond()))
+		f.teamLimiters[q.Team()] = rate.NewLimiter(limit, int(q.RequestsPerSecond()))
 	}
 }
 
 func (f *Forwarder) putExecutor(e router.Executor) {
 	f.router.Put(e)
 	share := router.Share(e.Connections, e.Number, f.config.Router.Seat, max(f.config.Router.Seats, 1))
-	b := f.slots[e.Address]
+	b := f.connLimits[e.Address]
 	if b == nil {
-		f.slots[e.Address] = &connBudget{share: share}
+		f.connLimits[e.Address] = &connLimit{limit: share}
 		return
 	}
-	b.setShare(share)
+	b.setLimit(share)
 }
 
 func (f *Forwarder) removeExecutor(id string) {
 	for _, e := range f.router.Known() {
 		if e.ID == id {
-			delete(f.slots, e.Address)
+			delete(f.connLimits, e.Address)
 		}
 	}
 	f.router.Remove(id)
 }
 
-func (f *Forwarder) removeOthers(keep []router.Executor) {
-	known := map[string]bool{}
+func (f *Forwarder) removeExcept(keep []router.Executor) {
+	kept := map[string]bool{}
 	for _, e := range keep {
-		known[e.ID] = true
+		kept[e.ID] = true
 	}
 	for _, e := range f.router.Known() {
-		if !known[e.ID] {
+		if !kept[e.ID] {
 			f.removeExecutor(e.ID)
 		}
 	}
