--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// Drain adds "Connection: close" to every response, so that callers reconnect to
-// another gateway.
+// Drain adds "Connection: close" to every response, so that callers reconnect
+// to another gateway.
 func (f *Forwarder) Drain() { f.draining.Store(true) }
 
 // ServeHTTP handles a caller's request.
@@ -222,8 +222,8 @@
 	return Service{}, false
 }
 
-// readBody reads the whole body before a slot is acquired, so that a caller that
-// sends slowly doesn't occupy one.
+// readBody reads the whole body before a slot is acquired, so that a caller
+// that sends slowly doesn't occupy one.
 func (f *Forwarder) readBody(rw http.ResponseWriter, r *http.Request, q *call) ([]byte, *refusal) {
 	if r.Body == nil || r.ContentLength == 0 {
 		return nil, nil
--- a/forwarder/send.go
+++ b/forwarder/send.go
@@ -15,8 +15,8 @@
 	"briarspring/router"
 )
 
-// onceBody is a request body that net/http can't rewind. This keeps net/http from
-// retrying a request on its own, whatever the method.
+// onceBody is a request body that net/http can't rewind. This keeps net/http
+// from retrying a request on its own, whatever the method.
 type onceBody struct{ r *bytes.Reader }
 
 func (b *onceBody) Read(p []byte) (int, error) { return b.r.Read(p) }
@@ -81,8 +81,8 @@
 	}
 }
 
-// handleSendError handles an attempt that failed without a response. If there was
-// no connection, nothing was sent. Otherwise the executor may have run the
+// handleSendError handles an attempt that failed without a response. If there
+// was no connection, nothing was sent. Otherwise the executor may have run the
 // request, and the slot stays in use until the executor has closed its side of
 // the connection.
 func (f *Forwarder) handleSendError(ctx context.Context, a router.Assignment, t *attempt, err error) result {
@@ -112,8 +112,8 @@
 	return result{status: http.StatusBadGateway, reason: "the executor broke off before its answer"}
 }
 
-// handleResponse checks that the response belongs to the call, and streams it to
-// the caller unless the call can be retried.
+// handleResponse checks that the response belongs to the call, and streams it
+// to the caller unless the call can be retried.
 func (f *Forwarder) handleResponse(rw http.ResponseWriter, q *call, a router.Assignment, t *attempt, resp *http.Response) result {
 	if resp.Header.Get(briarspring.HeaderLeaving) == "true" {
 		f.mu.Lock()
@@ -141,8 +141,8 @@
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// canRetry reports whether the call has attempts left and the retry budget has a
-// token, so that a failed response can be withheld from the caller.
+// canRetry reports whether the call has attempts left and the retry budget has
+// a token, so that a failed response can be withheld from the caller.
 func (f *Forwarder) canRetry(q *call) bool {
 	return len(q.tried)+1 < maxAttempts && f.budget.available()
 }
--- a/forwarder/serve.go
+++ b/forwarder/serve.go
@@ -46,8 +46,8 @@
 	http.Error(rw, reason, status)
 }
 
-// serve sends the request to executors until one responds, no further attempt is
-// allowed, or the outcome is unknown.
+// serve sends the request to executors until one responds, no further attempt
+// is allowed, or the outcome is unknown.
 func (f *Forwarder) serve(ctx context.Context, rw http.ResponseWriter, r *http.Request, q *call) {
 	f.budget.deposit()
 	for attempts := 1; ; attempts++ {
