--- a/connector/connector.go
+++ b/connector/connector.go
@@ -1,6 +1,5 @@
-// Package connector meets the platform: it maps the log, the list of hosts and
-// the workers to their published protocol. Another platform is met by another
-// such package.
+// Package connector is the client of the platform's log, list of hosts and
+// workers. Supporting another platform takes another such package.
 package connector
 
 import (
@@ -21,7 +20,7 @@
 	headerCaller    = "Platform-Caller"
 	dialTimeout     = 2 * time.Second
 	idleTimeout     = 30 * time.Second
-	pingAfter       = 5 * time.Second
+	pingIdle        = 5 * time.Second
 	pingTimeout     = 3 * time.Second
 	maxMessageBytes = 64 << 20
 )
@@ -41,17 +40,17 @@
 	hosts  platformv1connect.HostsClient
 }
 
-// New returns a client; it connects with the first call.
+// New returns a client. It connects on the first call.
 func New(c Config) *Connector {
-	// HTTP/2 sends headers that repeat in a few bytes, and they are most of an
-	// exchange with a worker.
+	// HTTP/2 compresses repeated headers to a few bytes. Without it, headers are
+	// most of the traffic of an exchange with a worker.
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	client := &http.Client{Transport: &http.Transport{
 		DialContext:     (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		IdleConnTimeout: idleTimeout,
 		Protocols:       protocols,
-		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingIdle, PingTimeout: pingTimeout},
 	}}
 	limit := connect.WithReadMaxBytes(maxMessageBytes)
 	return &Connector{
@@ -62,7 +61,7 @@
 	}
 }
 
-func request[T any](c *Connector, m *T) *connect.Request[T] {
+func newRequest[T any](c *Connector, m *T) *connect.Request[T] {
 	r := connect.NewRequest(m)
 	r.Header().Set(headerCaller, c.config.Caller)
 	return r
@@ -70,16 +69,16 @@
 
 // Append appends a record to a stream and returns its offset.
 func (c *Connector) Append(ctx context.Context, stream string, record []byte) (uint64, error) {
-	r, err := c.log.Append(ctx, request(c, &ppb.AppendRequest{Stream: stream, Record: record}))
+	r, err := c.log.Append(ctx, newRequest(c, &ppb.AppendRequest{Stream: stream, Record: record}))
 	if err != nil {
 		return 0, err
 	}
 	return r.Msg.GetOffset(), nil
 }
 
-// Read returns records of a stream from an offset on.
+// Read returns records of a stream, starting at an offset.
 func (c *Connector) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (briarspring.LogPage, error) {
-	r, err := c.log.Read(ctx, request(c, &ppb.ReadRequest{
+	r, err := c.log.Read(ctx, newRequest(c, &ppb.ReadRequest{
 		Stream: stream, From: from, Limit: uint32(limit), WaitMs: uint32(wait.Milliseconds()),
 	}))
 	if err != nil {
@@ -90,17 +89,17 @@
 
 // Hosts returns the hosts of a data centre.
 func (c *Connector) Hosts(ctx context.Context, dataCentre string) ([]briarspring.Host, error) {
-	r, err := c.hosts.List(ctx, request(c, &ppb.ListRequest{DataCentre: dataCentre}))
+	r, err := c.hosts.List(ctx, newRequest(c, &ppb.ListRequest{DataCentre: dataCentre}))
 	if err != nil {
 		return nil, err
 	}
 	return encoder.DecodeHosts(r.Msg), nil
 }
 
-// Exchange gives the worker at an address its commands and returns its report.
+// Exchange sends the worker at an address its commands and returns its report.
 func (c *Connector) Exchange(ctx context.Context, address string, e briarspring.Exchange) (briarspring.WorkerReport, error) {
 	client := platformv1connect.NewWorkersClient(c.client, "http://"+address, connect.WithReadMaxBytes(maxMessageBytes))
-	r, err := client.Exchange(ctx, request(c, encoder.EncodeExchange(e)))
+	r, err := client.Exchange(ctx, newRequest(c, encoder.EncodeExchange(e)))
 	if err != nil {
 		return briarspring.WorkerReport{}, err
 	}
--- a/relayer/client.go
+++ b/relayer/client.go
@@ -26,8 +26,8 @@
 	conn *quic.Conn
 }
 
-// NewClient returns a client of the peer at an address; it connects with the
-// first request.
+// NewClient returns a client of the peer at an address. It connects when the
+// first request is sent.
 func NewClient(address, dataCentre string, t TLS) *Client {
 	return &Client{address: address, dataCentre: dataCentre, tls: t}
 }
@@ -55,12 +55,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
-		c.conn.CloseWithError(0, "") //nolint:errcheck // Nothing is left to do.
+		c.conn.CloseWithError(0, "") //nolint:errcheck // The connection is discarded.
 	}
 }
 
-// open sends a request and returns the stream of its answers.
-func (c *Client) open(ctx context.Context, request *pb.PeerRequest) (*quic.Stream, error) {
+// openStream sends a request and returns the stream to read its responses from.
+func (c *Client) openStream(ctx context.Context, request *pb.PeerRequest) (*quic.Stream, error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return nil, err
@@ -76,22 +76,22 @@
 	return stream, nil
 }
 
-// ask sends a request that has one answer.
-func (c *Client) ask(ctx context.Context, request *pb.PeerRequest, answer protoMessage) error {
-	stream, err := c.open(ctx, request)
+// roundTrip sends a request and reads its single response.
+func (c *Client) roundTrip(ctx context.Context, request *pb.PeerRequest, answer protoMessage) error {
+	stream, err := c.openStream(ctx, request)
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
 	stop := context.AfterFunc(ctx, func() { stream.CancelRead(0) })
 	defer stop()
-	return read(bufio.NewReader(stream), answer)
+	return readMessage(bufio.NewReader(stream), answer)
 }
 
-// Subscribe hands each message of the peer's feed to a function until the feed
-// breaks off, the function returns an error, or the context ends.
-func (c *Client) Subscribe(ctx context.Context, gateway string, take func(*pb.Feed) error) error {
-	stream, err := c.open(ctx, &pb.PeerRequest{
+// Subscribe calls handle for each message of the peer's feed until the feed
+// fails, handle returns an error, or the context ends.
+func (c *Client) Subscribe(ctx context.Context, gateway string, handle func(*pb.Feed) error) error {
+	stream, err := c.openStream(ctx, &pb.PeerRequest{
 		Request: &pb.PeerRequest_SubscribeFeed{SubscribeFeed: &pb.SubscribeFeed{Gateway: gateway}},
 	})
 	if err != nil {
@@ -103,30 +103,31 @@
 	r := bufio.NewReader(stream)
 	for {
 		m := &pb.Feed{}
-		if err := read(r, m); err != nil {
+		if err := readMessage(r, m); err != nil {
 			return err
 		}
-		if err := take(m); err != nil {
+		if err := handle(m); err != nil {
 			stream.CancelRead(0)
 			return err
 		}
 	}
 }
 
-// Snapshot returns the state of a stream as the peer has applied it.
+// Snapshot returns the state that the peer has built from a stream, and the
+// offset up to which it has applied the stream.
 func (c *Client) Snapshot(ctx context.Context, stream string) (applied uint64, data []byte, err error) {
 	var answer pb.FetchSnapshotAnswer
 	request := &pb.PeerRequest{
 		Request: &pb.PeerRequest_FetchSnapshot{FetchSnapshot: &pb.FetchSnapshot{Stream: stream}},
 	}
-	if err := c.ask(ctx, request, &answer); err != nil {
+	if err := c.roundTrip(ctx, request, &answer); err != nil {
 		return 0, nil, err
 	}
 	if answer.GetProblem() != "" {
 		return 0, nil, &PeerError{Address: c.address, Problem: answer.GetProblem()}
 	}
 	if encoder.Checksum(answer.GetData()) != answer.GetChecksum() {
-		return 0, nil, &PeerError{Address: c.address, Problem: "checksum of its state is wrong"}
+		return 0, nil, &PeerError{Address: c.address, Problem: "snapshot checksum mismatch"}
 	}
 	return answer.GetApplied(), answer.GetData(), nil
 }
@@ -137,7 +138,7 @@
 	request := &pb.PeerRequest{
 		Request: &pb.PeerRequest_RelayAppend{RelayAppend: &pb.RelayAppend{Stream: stream, Record: record}},
 	}
-	if err := c.ask(ctx, request, &answer); err != nil {
+	if err := c.roundTrip(ctx, request, &answer); err != nil {
 		return 0, err
 	}
 	if answer.GetProblem() != "" {
@@ -154,7 +155,7 @@
 			Stream: stream, From: from, Limit: uint32(limit), WaitMs: uint32(wait.Milliseconds()),
 		}},
 	}
-	if err := c.ask(ctx, request, &answer); err != nil {
+	if err := c.roundTrip(ctx, request, &answer); err != nil {
 		return briarspring.LogPage{}, err
 	}
 	if answer.GetProblem() != "" {
@@ -167,53 +168,55 @@
 	return page, nil
 }
 
-// RelayedLog is the platform's log, reached through a peer elsewhere while the
-// direct way fails.
+// RelayedLog is a client of the platform's log that falls back to peers in
+// other data centres while direct access fails.
 type RelayedLog struct {
 	direct Log
 	peers  []*Client
 	logger hclog.Logger
 
-	mu        sync.Mutex
-	preferred int       // Peer that answered last.
-	avoid     time.Time // Until when the direct way is not tried first.
+	mu          sync.Mutex
+	preferred   int       // Index of the peer that succeeded last.
+	directAfter time.Time // Direct access isn't tried before this time.
 }
 
-// directPause is how long the direct way is left alone after a failure that a
-// peer could make good.
-const directPause = time.Second
+// directRetryDelay is how long direct access is skipped after a call succeeded
+// through a peer.
+const directRetryDelay = time.Second
 
-// NewRelayedLog returns the log with its ways.
+// NewRelayedLog returns a log that uses direct, and falls back to the peers.
 func NewRelayedLog(direct Log, peers []*Client, logger hclog.Logger) *RelayedLog {
 	return &RelayedLog{direct: direct, peers: peers, logger: logger}
 }
 
-// Append appends a record. It may arrive twice; readers drop the repeat.
+// Append appends a record. It may be appended twice, since an attempt that
+// returned an error may have succeeded; readers drop the duplicate.
 func (l *RelayedLog) Append(ctx context.Context, stream string, record []byte) (uint64, error) {
 	var offset uint64
-	err := l.each(ctx, func(ctx context.Context, way Log) error {
+	err := l.withFallback(ctx, func(ctx context.Context, log Log) error {
 		var err error
-		offset, err = way.Append(ctx, stream, record)
+		offset, err = log.Append(ctx, stream, record)
 		return err
 	})
 	return offset, err
 }
 
-// Read returns records of a stream from an offset on.
+// Read returns records of a stream, starting at an offset.
 func (l *RelayedLog) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (briarspring.LogPage, error) {
 	var page briarspring.LogPage
-	err := l.each(ctx, func(ctx context.Context, way Log) error {
+	err := l.withFallback(ctx, func(ctx context.Context, log Log) error {
 		var err error
-		page, err = way.Read(ctx, stream, from, limit, wait)
+		page, err = log.Read(ctx, stream, from, limit, wait)
 		return err
 	})
 	return page, err
 }
 
-// each tries the direct way, then one peer after another.
-func (l *RelayedLog) each(ctx context.Context, call func(context.Context, Log) error) error {
+// withFallback tries direct access, then one peer after another, starting with
+// the one that succeeded last.
+func (l *RelayedLog) withFallback(ctx context.Context, call func(context.Context, Log) error) error {
 	l.mu.Lock()
-	tryDirect := time.Now().After(l.avoid)
+	tryDirect := time.Now().After(l.directAfter)
 	first := l.preferred
 	l.mu.Unlock()
 	var failure error
@@ -229,7 +232,7 @@
 		}
 		err := call(ctx, l.peers[n])
 		if err == nil {
-			l.notePeer(n)
+			l.preferPeer(n)
 			return nil
 		}
 		if failure == nil {
@@ -239,10 +242,11 @@
 	if failure == nil {
 		failure = ctx.Err()
 	}
-	return fmt.Errorf("no way to the log: %w", failure)
+	return fmt.Errorf("log is unreachable: %w", failure)
 }
 
-// callDirect leaves time for the peers within the caller's deadline.
+// callDirect tries direct access. If there are peers, it leaves them a third of
+// the time until the caller's deadline.
 func (l *RelayedLog) callDirect(ctx context.Context, call func(context.Context, Log) error) error {
 	if deadline, ok := ctx.Deadline(); ok && len(l.peers) > 0 {
 		var cancel context.CancelFunc
@@ -252,12 +256,12 @@
 	return call(ctx, l.direct)
 }
 
-func (l *RelayedLog) notePeer(n int) {
+func (l *RelayedLog) preferPeer(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Since(l.avoid) > 2*directPause {
-		l.logger.Warn("log is reached through a peer", "peer", hostOf(l.peers[n].address))
+	if time.Since(l.directAfter) > 2*directRetryDelay {
+		l.logger.Warn("log is accessed through a peer", "peer", hostOf(l.peers[n].address))
 	}
 	l.preferred = n
-	l.avoid = time.Now().Add(directPause)
+	l.directAfter = time.Now().Add(directRetryDelay)
 }
--- a/relayer/feed.go
+++ b/relayer/feed.go
@@ -13,7 +13,8 @@
 
 type protoMessage = proto.Message
 
-// serveFeed sends the whole state, then what changes, until the peer goes away.
+// serveFeed sends a snapshot of the state and then its changes, until the peer
+// disconnects.
 func (s *Server) serveFeed(ctx context.Context, stream *quic.Stream) {
 	var sent *pb.Feed
 	for {
@@ -30,7 +31,7 @@
 			return
 		case <-changed:
 		}
-		// Changes that come close together are sent as one.
+		// Batch changes that follow each other closely.
 		t := time.NewTimer(feedInterval)
 		select {
 		case <-ctx.Done():
@@ -41,8 +42,8 @@
 	}
 }
 
-// Delta returns what a receiver of the first state must be told to reach the
-// second one, or nil when there is nothing to tell.
+// Delta returns the message that brings a receiver from one state to another,
+// or nil if nothing changed. If from is nil, the message is a snapshot.
 func Delta(from, to *pb.Feed) *pb.Feed {
 	if to == nil {
 		return nil
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -1,7 +1,7 @@
-// Package relayer carries messages between the system's own processes over
-// QUIC with mutual TLS: the feed from schedulers to gateways, states for
-// processes that start while the log is down, and reads and appends for data
-// centres that are cut off from the platform.
+// Package relayer carries messages between the system's own processes over QUIC
+// with mutual TLS: the feed from schedulers to gateways, snapshots for
+// processes that start while the log is down, and log reads and appends for
+// data centres that can't reach the platform.
 package relayer
 
 import (
@@ -28,13 +28,14 @@
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (briarspring.LogPage, error)
 }
 
-// Source provides what a server hands out.
+// Source provides the state that a server sends to its peers.
 type Source interface {
-	// Feed returns what gateways need to know now, or nil before it is known.
+	// Feed returns the current state for gateways, or nil before it is known.
 	Feed() *pb.Feed
-	// Changed returns a channel that is closed when Feed may differ.
+	// Changed returns a channel that is closed when Feed may have changed.
 	Changed() <-chan struct{}
-	// Snapshot returns the state of a stream as it has been applied.
+	// Snapshot returns the state built from a stream, and the offset up to which
+	// the stream has been applied.
 	Snapshot(stream string) (applied uint64, data []byte, err error)
 }
 
@@ -49,11 +50,11 @@
 	Address string // "IP:port", UDP.
 	TLS     TLS
 	Source  Source
-	Log     Log // For peers that are cut off; must not itself relay.
+	Log     Log // Serves peers that can't reach the log; must not itself relay.
 	Logger  hclog.Logger
 }
 
-// Server answers the requests of other processes.
+// Server serves the requests of other processes.
 type Server struct {
 	config   ServerConfig
 	listener *quic.Listener
@@ -72,7 +73,7 @@
 	return &quic.Config{MaxIdleTimeout: idleTimeout, KeepAlivePeriod: keepAlive, MaxIncomingStreams: 256}
 }
 
-// NewServer listens at the address.
+// NewServer returns a server that listens on c.Address.
 func NewServer(c ServerConfig) (*Server, error) {
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
@@ -84,13 +85,13 @@
 	return &Server{config: c, listener: listener, done: make(chan struct{})}, nil
 }
 
-// Address returns the address that the server listens at.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Done returns a channel that is closed when Run has ended.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Run answers until the context ends.
+// Run serves requests until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	defer close(s.done)
 	defer s.listener.Close()
@@ -104,30 +105,30 @@
 }
 
 func (s *Server) serveConn(ctx context.Context, conn *quic.Conn) {
-	defer conn.CloseWithError(0, "") //nolint:errcheck // Nothing is left to do.
+	defer conn.CloseWithError(0, "") //nolint:errcheck // The connection is discarded.
 	for {
 		stream, err := conn.AcceptStream(ctx)
 		if err != nil {
-			s.noteRefused(conn, err)
+			s.logRefusedPeer(conn, err)
 			return
 		}
 		go s.serveStream(ctx, conn, stream)
 	}
 }
 
-// noteRefused logs peers whose certificate was refused.
-func (s *Server) noteRefused(conn *quic.Conn, err error) {
+// logRefusedPeer logs an error that is due to a refused certificate.
+func (s *Server) logRefusedPeer(conn *quic.Conn, err error) {
 	var transport *quic.TransportError
 	if errors.As(err, &transport) && transport.ErrorCode.IsCryptoError() {
-		s.config.Logger.Warn("peer's certificate was refused", "peer", conn.RemoteAddr(), "error", err)
+		s.config.Logger.Warn("peer certificate refused", "peer", conn.RemoteAddr(), "error", err)
 	}
 }
 
 func (s *Server) serveStream(ctx context.Context, conn *quic.Conn, stream *quic.Stream) {
 	defer stream.Close()
 	var request pb.PeerRequest
-	if err := read(bufio.NewReader(stream), &request); err != nil {
-		s.config.Logger.Warn("peer's request can't be read", "peer", conn.RemoteAddr(), "error", err)
+	if err := readMessage(bufio.NewReader(stream), &request); err != nil {
+		s.config.Logger.Warn("can't read peer request", "peer", conn.RemoteAddr(), "error", err)
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -135,7 +136,7 @@
 	context.AfterFunc(conn.Context(), cancel)
 	switch r := request.GetRequest().(type) {
 	case *pb.PeerRequest_SubscribeFeed:
-		s.config.Logger.Info("gateway subscribes", "gateway", r.SubscribeFeed.GetGateway(), "peer", conn.RemoteAddr())
+		s.config.Logger.Info("gateway subscribed", "gateway", r.SubscribeFeed.GetGateway(), "peer", conn.RemoteAddr())
 		s.serveFeed(ctx, stream)
 	case *pb.PeerRequest_FetchSnapshot:
 		s.serveSnapshot(stream, r.FetchSnapshot)
@@ -144,7 +145,7 @@
 	case *pb.PeerRequest_RelayRead:
 		s.serveRead(ctx, stream, r.RelayRead)
 	default:
-		s.config.Logger.Warn("peer's request is unknown", "peer", conn.RemoteAddr())
+		s.config.Logger.Warn("unknown peer request", "peer", conn.RemoteAddr())
 	}
 }
 
@@ -189,15 +190,15 @@
 
 func (s *Server) send(stream *quic.Stream, m protoMessage) {
 	if _, err := protodelim.MarshalTo(stream, m); err != nil {
-		s.config.Logger.Debug("answer can't be sent to peer", "error", err)
+		s.config.Logger.Debug("can't send response to peer", "error", err)
 	}
 }
 
-func read(r *bufio.Reader, m protoMessage) error {
+func readMessage(r *bufio.Reader, m protoMessage) error {
 	return protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}.UnmarshalFrom(r, m)
 }
 
-// PeerError tells that a peer could not do what it was asked.
+// PeerError is a peer's failure to serve a request.
 type PeerError struct {
 	Address string
 	Problem string
@@ -206,7 +207,7 @@
 // Error implements error.
 func (e *PeerError) Error() string { return fmt.Sprintf("peer %s: %s", e.Address, e.Problem) }
 
-// hostOf returns the IP number of an address, for logs.
+// hostOf returns an address without its port, for logs.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -14,7 +14,7 @@
 	"briarspring/relayer"
 )
 
-// source is a state that never changes.
+// source is a relayer.Source whose state never changes.
 type source struct{ feed *pb.Feed }
 
 func (s source) Feed() *pb.Feed           { return s.feed }
@@ -76,9 +76,9 @@
 		assert.EqualValues(t, 3, m.GetConfigOffset())
 	})
 	t.Run("relayed log", func(t *testing.T) {
-		cut := imitator.NewLog(imitator.LogConfig{})
-		cut.SetFaults(imitator.LogFaults{Down: true})
-		relayed := relayer.NewRelayedLog(cut, []*relayer.Client{client}, nullLogger())
+		unreachable := imitator.NewLog(imitator.LogConfig{})
+		unreachable.SetFaults(imitator.LogFaults{Down: true})
+		relayed := relayer.NewRelayedLog(unreachable, []*relayer.Client{client}, nullLogger())
 		offset, err := relayed.Append(ctx, "config", []byte("record"))
 		require.NoError(t, err)
 		page, err := relayed.Read(ctx, "config", offset, 10, 0)
