--- a/certifier/certifier.go
+++ b/certifier/certifier.go
@@ -1,6 +1,6 @@
-// Package certifier provides the mutual TLS between the system's own
-// processes: from files that are read again when they change, or made in
-// memory for development and tests.
+// Package certifier provides the certificates for mutual TLS between the
+// system's own processes. They are read from files and reloaded when these
+// change, or issued in memory for development and tests.
 package certifier
 
 import (
@@ -22,24 +22,25 @@
 )
 
 const (
-	// protocol names the exchange between processes in TLS.
+	// protocol is the ALPN name of the protocol between processes.
 	protocol = "briarspring/1"
-	// peerName is the name that every process's certificate carries. Processes
-	// are told apart by their addresses, trust by the authority.
+	// peerName is the DNS name in every process's certificate. Processes are
+	// identified by their addresses, and trusted because the authority signed
+	// their certificates.
 	peerName = "briarspring-peer"
-	// reloadInterval is the time between two looks at the files.
+	// reloadInterval is the least time between two checks for changed files.
 	reloadInterval = time.Second
 )
 
-// Config names the files of a process.
+// Config holds the settings of a Certifier.
 type Config struct {
 	Certificate string // PEM file of the process's certificate.
 	Key         string // PEM file of its private key.
-	Authority   string // PEM file of the certificates that peers are signed by.
+	Authority   string // PEM file of the certificates that sign peers' certificates.
 	Logger      hclog.Logger
 }
 
-// FileError tells which file can't be used.
+// FileError reports a file that can't be used.
 type FileError struct {
 	Path  string
 	Cause error
@@ -51,18 +52,19 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// Certifier holds a process's certificate and the authority of its peers.
+// Certifier holds a process's certificate and the authority that signs its
+// peers' certificates.
 type Certifier struct {
 	config Config
 
-	mu      sync.Mutex
-	cert    *tls.Certificate
-	pool    *x509.CertPool
-	changed time.Time // Newest change among the files.
-	checked time.Time
+	mu        sync.Mutex
+	cert      *tls.Certificate
+	pool      *x509.CertPool
+	modTime   time.Time // Latest modification time of the files.
+	lastCheck time.Time
 }
 
-// Load reads the files. Errors are *FileError.
+// Load returns a certifier that reads the files of c. Errors are *FileError.
 func Load(c Config) (*Certifier, error) {
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
@@ -85,13 +87,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return &FileError{Path: x.config.Authority, Cause: fmt.Errorf("no certificate in it")}
+		return &FileError{Path: x.config.Authority, Cause: fmt.Errorf("file holds no certificate")}
 	}
-	x.cert, x.pool, x.changed = &cert, pool, x.newest()
+	x.cert, x.pool, x.modTime = &cert, pool, x.latestModTime()
 	return nil
 }
 
-func (x *Certifier) newest() time.Time {
+func (x *Certifier) latestModTime() time.Time {
 	var newest time.Time
 	for _, path := range []string{x.config.Certificate, x.config.Key, x.config.Authority} {
 		info, err := os.Stat(path)
@@ -102,25 +104,25 @@
 	return newest
 }
 
-// current returns the certificate and authority, read again if the files have
-// changed. Files that can't be used leave the old ones in force.
+// current returns the certificate and authority. It reloads them if the files
+// have changed, and keeps the old ones if the files can't be used.
 func (x *Certifier) current() (*tls.Certificate, *x509.CertPool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.config.Certificate != "" && time.Since(x.checked) > reloadInterval {
-		x.checked = time.Now()
-		if newest := x.newest(); newest.After(x.changed) {
+	if x.config.Certificate != "" && time.Since(x.lastCheck) > reloadInterval {
+		x.lastCheck = time.Now()
+		if newest := x.latestModTime(); newest.After(x.modTime) {
 			if err := x.reload(); err != nil {
-				x.config.Logger.Error("changed certificate can't be used, the old one stays", "error", err)
+				x.config.Logger.Error("can't reload certificate, keeping the old one", "error", err)
 			} else {
-				x.config.Logger.Info("certificate read again", "file", x.config.Certificate)
+				x.config.Logger.Info("certificate reloaded", "file", x.config.Certificate)
 			}
 		}
 	}
 	return x.cert, x.pool
 }
 
-// ServerTLS returns the settings for accepting peers.
+// ServerTLS returns the settings for connections from peers.
 func (x *Certifier) ServerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -136,7 +138,7 @@
 	}
 }
 
-// ClientTLS returns the settings for a connection to a peer.
+// ClientTLS returns the settings for connections to peers.
 func (x *Certifier) ClientTLS() *tls.Config {
 	cert, pool := x.current()
 	return &tls.Config{
@@ -145,16 +147,16 @@
 	}
 }
 
-// Authority signs the certificates of processes.
+// Authority is a certificate authority that signs processes' certificates.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	der  []byte
 }
 
-const authorityLife = 365 * 24 * time.Hour
+const authorityLifetime = 365 * 24 * time.Hour
 
-// NewAuthority makes an authority in memory.
+// NewAuthority returns a new authority with a self-signed certificate.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -162,7 +164,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "briarspring authority"},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(authorityLife),
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(authorityLifetime),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
@@ -176,15 +178,15 @@
 	return &Authority{cert: cert, key: key, der: der}, nil
 }
 
-// Pair is a certificate and its key, in PEM.
+// Pair is a certificate, its key and the authority's certificate, in PEM.
 type Pair struct {
 	Certificate []byte
 	Key         []byte
 	Authority   []byte
 }
 
-// Issue signs a process's certificate that is valid for a time from now on.
-func (a *Authority) Issue(life time.Duration) (Pair, error) {
+// Issue issues a process's certificate that expires after lifetime.
+func (a *Authority) Issue(lifetime time.Duration) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return Pair{}, err
@@ -195,7 +197,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: peerName}, DNSNames: []string{peerName},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(life),
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(lifetime),
 		KeyUsage:    x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}
@@ -214,7 +216,7 @@
 	}, nil
 }
 
-// FromPair returns a certifier of a pair in memory.
+// FromPair returns a certifier for a pair in memory, which is never reloaded.
 func FromPair(p Pair) (*Certifier, error) {
 	cert, err := tls.X509KeyPair(p.Certificate, p.Key)
 	if err != nil {
@@ -225,7 +227,7 @@
 	return &Certifier{config: Config{Logger: hclog.NewNullLogger()}, cert: &cert, pool: pool}, nil
 }
 
-// File names of a pair in a folder.
+// Names and modes of the files that Pair.Write writes.
 const (
 	CertificateFile = "certificate.pem"
 	KeyFile         = "key.pem"
--- a/certifier/certifier_test.go
+++ b/certifier/certifier_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func write(t *testing.T, a *Authority, folder string) {
+func writePair(t *testing.T, a *Authority, folder string) {
 	pair, err := a.Issue(time.Hour)
 	require.NoError(t, err)
 	require.NoError(t, pair.Write(folder))
@@ -36,7 +36,7 @@
 	a, err := NewAuthority()
 	require.NoError(t, err)
 	folder := t.TempDir()
-	write(t, a, folder)
+	writePair(t, a, folder)
 	x, err := Load(config(folder))
 	require.NoError(t, err)
 	old := serial(t, x)
@@ -47,16 +47,16 @@
 			require.NoError(t, os.Chtimes(filepath.Join(folder, name), later, later))
 		}
 		later = later.Add(time.Minute)
-		x.checked = time.Time{}
+		x.lastCheck = time.Time{}
 	}
-	write(t, a, folder)
+	writePair(t, a, folder)
 	touch()
 	renewed := serial(t, x)
-	assert.NotEqual(t, old, renewed, "a changed certificate comes into force")
+	assert.NotEqual(t, old, renewed, "a changed certificate is reloaded")
 
 	require.NoError(t, os.WriteFile(filepath.Join(folder, CertificateFile), []byte("broken"), 0o600))
 	touch()
-	assert.Equal(t, renewed, serial(t, x), "one that can't be used leaves the old one in force")
+	assert.Equal(t, renewed, serial(t, x), "an invalid certificate does not replace the old one")
 }
 
 func TestLoadFaults(t *testing.T) {
