--- a/cataloguer/cataloguer.go
+++ b/cataloguer/cataloguer.go
@@ -1,5 +1,5 @@
-// Package cataloguer keeps the operators' queues and the data centres that are
-// out of service.
+// Package cataloguer maintains the queues that operators have configured and
+// the data centres that they have taken out of service.
 package cataloguer
 
 import (
@@ -10,13 +10,13 @@
 	"briarspring"
 )
 
-// Decoder turns a record of the directory stream into what it says.
+// Decoder decodes records of the directory stream.
 type Decoder interface {
-	// Directory returns the queues that a record puts in force; false for
-	// records of another kind.
+	// Directory returns the queues that a record defines, and false for records
+	// of another kind.
 	Directory(r briarspring.KeyedRecord) (briarspring.Directory, bool, error)
-	// OutOfService returns the data centre that a record takes out of service
-	// while it exists; false for records of another kind.
+	// OutOfService returns the data centre that is out of service while the
+	// record with this key exists, and false for records of another kind.
 	OutOfService(key string) (dataCentre string, ok bool)
 }
 
@@ -24,17 +24,17 @@
 type Config struct {
 	Decoder Decoder
 	Logger  hclog.Logger
-	Changed func() // Called after a change.
+	Changed func() // Called after Restore and Apply; optional.
 }
 
-// Catalogue is the operators' configuration. It is a tracker's sink.
+// Catalogue is the operators' configuration. It implements tracker.Sink.
 type Catalogue struct {
 	config Config
 
-	mu        sync.Mutex
-	directory briarspring.Directory
-	known     bool
-	out       map[string]bool
+	mu           sync.Mutex
+	directory    briarspring.Directory
+	loaded       bool
+	outOfService map[string]bool
 }
 
 // New returns a catalogue without queues.
@@ -45,33 +45,34 @@
 	if c.Changed == nil {
 		c.Changed = func() {}
 	}
-	return &Catalogue{config: c, out: map[string]bool{}}
+	return &Catalogue{config: c, outOfService: map[string]bool{}}
 }
 
-// Directory returns the queues in force; false before the first one was read.
+// Directory returns the current queues, and false before any were loaded.
 func (c *Catalogue) Directory() (briarspring.Directory, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.directory, c.known
+	return c.directory, c.loaded
 }
 
 // Out reports whether a data centre is out of service.
 func (c *Catalogue) Out(dataCentre string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.out[dataCentre]
+	return c.outOfService[dataCentre]
 }
 
-// Restore takes the newest record of every key.
+// Restore applies the latest record of every key. Data centres without a record
+// return to service.
 func (c *Catalogue) Restore(records []briarspring.KeyedRecord, _ uint64) {
 	c.mu.Lock()
-	before := c.out
-	c.out = map[string]bool{}
+	before := c.outOfService
+	c.outOfService = map[string]bool{}
 	for _, r := range records {
-		c.take(r)
+		c.applyRecord(r)
 	}
 	for name := range before {
-		if !c.out[name] {
+		if !c.outOfService[name] {
 			c.config.Logger.Info("data centre is back in service", "data-centre", name)
 		}
 	}
@@ -79,42 +80,42 @@
 	c.config.Changed()
 }
 
-// Apply takes records in order.
+// Apply applies records in order.
 func (c *Catalogue) Apply(records []briarspring.KeyedRecord) {
 	c.mu.Lock()
 	for _, r := range records {
-		c.take(r)
+		c.applyRecord(r)
 	}
 	c.mu.Unlock()
 	c.config.Changed()
 }
 
-func (c *Catalogue) take(r briarspring.KeyedRecord) {
+func (c *Catalogue) applyRecord(r briarspring.KeyedRecord) {
 	if name, ok := c.config.Decoder.OutOfService(r.Key); ok {
-		c.setOut(name, len(r.Value) > 0)
+		c.setOutOfService(name, len(r.Value) > 0)
 		return
 	}
 	directory, ok, err := c.config.Decoder.Directory(r)
 	if err != nil {
-		c.config.Logger.Warn("directory has no effect", "key", r.Key, "offset", r.Offset, "error", err)
+		c.config.Logger.Warn("ignoring invalid directory", "key", r.Key, "offset", r.Offset, "error", err)
 		return
 	}
-	if !ok || c.known && directory.Version <= c.directory.Version {
+	if !ok || c.loaded && directory.Version <= c.directory.Version {
 		return
 	}
-	c.config.Logger.Info("directory in force", "version", directory.Version, "before", c.directory.Version, "queues", len(directory.Queues))
+	c.config.Logger.Info("directory changed", "version", directory.Version, "before", c.directory.Version, "queues", len(directory.Queues))
 	c.directory = directory
-	c.known = true
+	c.loaded = true
 }
 
-func (c *Catalogue) setOut(name string, out bool) {
-	if c.out[name] == out {
+func (c *Catalogue) setOutOfService(name string, out bool) {
+	if c.outOfService[name] == out {
 		return
 	}
-	c.config.Logger.Info("data centre's service changed", "data-centre", name, "out", out)
+	c.config.Logger.Info("data centre taken out of or returned to service", "data-centre", name, "out", out)
 	if out {
-		c.out[name] = true
+		c.outOfService[name] = true
 	} else {
-		delete(c.out, name)
+		delete(c.outOfService, name)
 	}
 }
--- a/cataloguer/cataloguer_test.go
+++ b/cataloguer/cataloguer_test.go
@@ -55,6 +55,6 @@
 		c.Apply([]briarspring.KeyedRecord{record("out/tartu", "")})
 		assert.False(t, c.Out("tartu"))
 		c.Restore(nil, 9)
-		assert.False(t, c.Out("voru"), "a record that is gone takes nothing out of service")
+		assert.False(t, c.Out("voru"), "a data centre without a record is in service")
 	})
 }
--- a/lister/lister.go
+++ b/lister/lister.go
@@ -1,4 +1,4 @@
-// Package lister keeps the platform's list of workers.
+// Package lister maintains the platform's list of workers.
 package lister
 
 import (
@@ -11,7 +11,7 @@
 	"briarspring"
 )
 
-// Decoder turns a record of the workers' stream into an entry.
+// Decoder decodes records of the workers' stream.
 type Decoder interface {
 	Worker(r briarspring.KeyedRecord) (briarspring.WorkerEntry, error)
 }
@@ -22,14 +22,14 @@
 	Logger  hclog.Logger
 }
 
-// List is the list of workers. It is a tracker's sink.
+// List is the list of workers. It implements tracker.Sink.
 type List struct {
 	config Config
 
-	mu      sync.Mutex
-	known   bool
-	entries map[string]briarspring.WorkerEntry
-	faulty  map[string]bool // Keys whose entry can't be decoded, each logged once.
+	mu        sync.Mutex
+	loaded    bool
+	entries   map[string]briarspring.WorkerEntry
+	malformed map[string]bool // Keys of malformed entries, to log each only once.
 }
 
 // New returns an empty list.
@@ -37,30 +37,31 @@
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
 	}
-	return &List{config: c, entries: map[string]briarspring.WorkerEntry{}, faulty: map[string]bool{}}
+	return &List{config: c, entries: map[string]briarspring.WorkerEntry{}, malformed: map[string]bool{}}
 }
 
-// Restore takes the newest record of every key.
+// Restore replaces the list with the latest record of every key.
 func (l *List) Restore(records []briarspring.KeyedRecord, _ uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.known = true
+	l.loaded = true
 	clear(l.entries)
 	for _, r := range records {
-		l.take(r)
+		l.applyRecord(r)
 	}
 }
 
-// Apply takes records in order.
+// Apply applies records in order. A record that is empty or malformed removes
+// its worker.
 func (l *List) Apply(records []briarspring.KeyedRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range records {
-		l.take(r)
+		l.applyRecord(r)
 	}
 }
 
-func (l *List) take(r briarspring.KeyedRecord) {
+func (l *List) applyRecord(r briarspring.KeyedRecord) {
 	if len(r.Value) == 0 {
 		delete(l.entries, r.Key)
 		return
@@ -68,18 +69,18 @@
 	e, err := l.config.Decoder.Worker(r)
 	if err != nil {
 		delete(l.entries, r.Key)
-		if !l.faulty[r.Key] {
-			l.faulty[r.Key] = true
-			l.config.Logger.Warn("entry of a worker is not used", "key", r.Key, "error", err)
+		if !l.malformed[r.Key] {
+			l.malformed[r.Key] = true
+			l.config.Logger.Warn("ignoring malformed worker entry", "key", r.Key, "error", err)
 		}
 		return
 	}
-	delete(l.faulty, r.Key)
+	delete(l.malformed, r.Key)
 	l.entries[r.Key] = e
 }
 
-// Workers returns the workers of a data centre in order of ID; false before the
-// list was read.
+// Workers returns the workers of a data centre sorted by ID. It returns false
+// before the list has been loaded.
 func (l *List) Workers(dataCentre string) ([]briarspring.WorkerEntry, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,5 +91,5 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b briarspring.WorkerEntry) int { return cmp.Compare(a.ID, b.ID) })
-	return list, l.known
+	return list, l.loaded
 }
--- a/lister/lister_test.go
+++ b/lister/lister_test.go
@@ -10,7 +10,7 @@
 	"briarspring/lister"
 )
 
-// decoder takes the value for the data centre, and fails for "malformed".
+// decoder uses the value as the data centre, and fails for "malformed".
 type decoder struct{}
 
 func (decoder) Worker(r briarspring.KeyedRecord) (briarspring.WorkerEntry, error) {
@@ -38,7 +38,7 @@
 func TestList(t *testing.T) {
 	l := lister.New(lister.Config{Decoder: decoder{}})
 	_, known := l.Workers("tartu")
-	assert.False(t, known, "before the list was read")
+	assert.False(t, known, "before the list has been loaded")
 	l.Restore([]briarspring.KeyedRecord{record("b", "tartu"), record("a", "tartu"), record("c", "voru"), record("d", "malformed")}, 4)
 	assertWorkers(t, l, "a", "b")
 	t.Run("drops what is gone or malformed", func(t *testing.T) {
--- a/sleeper/sleeper.go
+++ b/sleeper/sleeper.go
@@ -1,5 +1,4 @@
-// Package sleeper pauses a goroutine until a time has passed or its context
-// has ended.
+// Package sleeper provides a sleep that a context can interrupt.
 package sleeper
 
 import (
@@ -7,7 +6,7 @@
 	"time"
 )
 
-// For waits for d. It returns the context's error when that ended first.
+// For sleeps for d. It returns the context's error if the context ends first.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/timekeeper/timekeeper.go
+++ b/timekeeper/timekeeper.go
@@ -1,5 +1,6 @@
-// Package timekeeper reads the clock that goes on while a host is suspended.
-// Go's own monotonic clock stands still then, and a lease would seem to last.
+// Package timekeeper reads the clock that keeps running while a host is
+// suspended. Go's monotonic clock stops then, so that an expired lease would
+// look valid.
 package timekeeper
 
 import (
@@ -8,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// BootTime returns the time since the host was started.
+// BootTime returns the time since the host booted, including suspends.
 func BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// The call only fails for clocks that the kernel does not have.
-		panic("CLOCK_BOOTTIME can't be read: " + err.Error())
+		// The call fails only if the kernel lacks the clock.
+		panic("can't read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(t.Nano())
 }
