--- a/encoder/command.go
+++ b/encoder/command.go
@@ -70,7 +70,7 @@
 	case *pb.Command_DeclareLost:
 		return briarspring.DeclareLost{Worker: ch.DeclareLost}, nil
 	}
-	return nil, malformed("command", "no known change")
+	return nil, malformed("command", "unknown or missing change")
 }
 
 func encodeTransfer(t briarspring.Transfer) *pb.Transfer {
--- a/encoder/encoder.go
+++ b/encoder/encoder.go
@@ -12,9 +12,9 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// MalformedError tells why bytes from outside can't be decoded.
+// MalformedError is the error for input bytes that can't be decoded.
 type MalformedError struct {
-	What  string
+	What  string // Kind of the input, such as "record".
 	Cause error
 }
 
@@ -28,7 +28,7 @@
 	return &MalformedError{What: what, Cause: fmt.Errorf(format, args...)}
 }
 
-// Record returns the bytes of a record.
+// Record encodes a log record.
 func Record(r briarspring.Record) ([]byte, error) {
 	m := &pb.Record{
 		Writer:      r.Writer.Name,
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// DecodeRecord returns the record that data holds, or a *MalformedError.
+// DecodeRecord decodes a log record; errors are *MalformedError.
 func DecodeRecord(data []byte) (briarspring.Record, error) {
 	var m pb.Record
 	if err := proto.Unmarshal(data, &m); err != nil {
@@ -104,8 +104,8 @@
 			Data: s.GetData(), Checksum: s.GetChecksum(),
 		}, nil
 	}
-	return nil, malformed("record", "no known body")
+	return nil, malformed("record", "unknown or missing body")
 }
 
-// Checksum returns the checksum that guards snapshots.
+// Checksum returns the checksum of a snapshot, to detect corruption.
 func Checksum(data []byte) uint64 { return xxhash.Sum64(data) }
--- a/encoder/event.go
+++ b/encoder/event.go
@@ -128,10 +128,10 @@
 			Workload: briarspring.WorkloadID(e.Forget.GetWorkload()), Seen: e.Forget.GetSeen(),
 		}, nil
 	}
-	return nil, malformed("event", "no known kind")
+	return nil, malformed("event", "unknown or missing event")
 }
 
-// attemptFields is met by every event that names an attempt.
+// attemptFields is implemented by every message that names an attempt.
 type attemptFields interface {
 	GetWorkload() uint64
 	GetIndex() uint32
--- a/encoder/object.go
+++ b/encoder/object.go
@@ -7,12 +7,12 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// EncodeResources maps an amount to its message.
+// EncodeResources maps resources to their message.
 func EncodeResources(r briarspring.Resources) *pb.Resources {
 	return &pb.Resources{MilliCpu: r.MilliCPU(), MemoryMib: r.MemoryMiB(), Accelerators: r.Accelerators()}
 }
 
-// DecodeResources maps a message to an amount; nil is zero.
+// DecodeResources maps a message to resources; nil becomes zero resources.
 func DecodeResources(m *pb.Resources) briarspring.Resources {
 	return briarspring.NewResources(briarspring.ResourcesConfig{
 		MilliCPU: m.GetMilliCpu(), MemoryMiB: m.GetMemoryMib(), Accelerators: m.GetAccelerators(),
@@ -29,7 +29,8 @@
 	}
 }
 
-// DecodeService maps and checks a message; errors are *briarspring.InvalidError.
+// DecodeService maps a message to a service and validates it; errors are
+// *briarspring.InvalidError.
 func DecodeService(m *pb.Service) (briarspring.Service, error) {
 	return briarspring.NewService(briarspring.ServiceConfig{
 		Name: m.GetName(), Team: m.GetTeam(), Prefix: m.GetPrefix(),
@@ -49,7 +50,8 @@
 	}
 }
 
-// DecodeJob maps and checks a message; errors are *briarspring.InvalidError.
+// DecodeJob maps a message to a job and validates it; errors are
+// *briarspring.InvalidError.
 func DecodeJob(m *pb.Job) (briarspring.Job, error) {
 	return briarspring.NewJob(briarspring.JobConfig{
 		Name: m.GetName(), Team: m.GetTeam(), Class: m.GetClass(), Tasks: m.GetTasks(),
@@ -66,7 +68,8 @@
 	}
 }
 
-// DecodeQuota maps and checks a message; errors are *briarspring.InvalidError.
+// DecodeQuota maps a message to a quota and validates it; errors are
+// *briarspring.InvalidError.
 func DecodeQuota(m *pb.Quota) (briarspring.Quota, error) {
 	return briarspring.NewQuota(briarspring.QuotaConfig{
 		Team: m.GetTeam(), Resources: DecodeResources(m.GetResources()),
@@ -117,17 +120,17 @@
 
 // EncodeTaskStates maps the state of tasks to their messages.
 func EncodeTaskStates(tasks []briarspring.TaskState) []*pb.TaskState {
-	var ms []*pb.TaskState
+	var messages []*pb.TaskState
 	for _, t := range tasks {
-		ms = append(ms, &pb.TaskState{Index: t.Index, Attempt: t.Attempt, Checkpoint: t.Checkpoint})
+		messages = append(messages, &pb.TaskState{Index: t.Index, Attempt: t.Attempt, Checkpoint: t.Checkpoint})
 	}
-	return ms
+	return messages
 }
 
 // DecodeTaskStates maps messages to the state of tasks.
-func DecodeTaskStates(ms []*pb.TaskState) []briarspring.TaskState {
+func DecodeTaskStates(messages []*pb.TaskState) []briarspring.TaskState {
 	var tasks []briarspring.TaskState
-	for _, m := range ms {
+	for _, m := range messages {
 		tasks = append(tasks, briarspring.TaskState{
 			Index: m.GetIndex(), Attempt: m.GetAttempt(), Checkpoint: m.GetCheckpoint(),
 		})
--- a/encoder/platform.go
+++ b/encoder/platform.go
@@ -11,7 +11,7 @@
 
 func fromMillis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// EncodeLogPage maps the answer to a read to its message.
+// EncodeLogPage maps a page of a log to its message.
 func EncodeLogPage(p briarspring.LogPage) *ppb.ReadResponse {
 	m := &ppb.ReadResponse{Oldest: p.Oldest, Next: p.Next}
 	for _, e := range p.Entries {
@@ -20,7 +20,7 @@
 	return m
 }
 
-// DecodeLogPage maps a message to the answer to a read.
+// DecodeLogPage maps a message to a page of a log.
 func DecodeLogPage(m *ppb.ReadResponse) briarspring.LogPage {
 	p := briarspring.LogPage{Oldest: m.GetOldest(), Next: m.GetNext()}
 	for _, e := range m.GetEntries() {
@@ -56,23 +56,23 @@
 	return &ppb.TaskKey{Workload: uint64(a.Task.Workload), Index: a.Task.Index, Attempt: a.Attempt}
 }
 
-func encodeTaskKeys(as []briarspring.AttemptID) []*ppb.TaskKey {
-	var ms []*ppb.TaskKey
-	for _, a := range as {
-		ms = append(ms, encodeTaskKey(a))
+func encodeTaskKeys(attempts []briarspring.AttemptID) []*ppb.TaskKey {
+	var keys []*ppb.TaskKey
+	for _, a := range attempts {
+		keys = append(keys, encodeTaskKey(a))
 	}
-	return ms
+	return keys
 }
 
-func decodeTaskKeys(ms []*ppb.TaskKey) []briarspring.AttemptID {
-	var as []briarspring.AttemptID
-	for _, m := range ms {
-		as = append(as, decodeAttempt(m))
+func decodeTaskKeys(keys []*ppb.TaskKey) []briarspring.AttemptID {
+	var attempts []briarspring.AttemptID
+	for _, m := range keys {
+		attempts = append(attempts, decodeAttempt(m))
 	}
-	return as
+	return attempts
 }
 
-// EncodeExchange maps a worker's commands to their message.
+// EncodeExchange maps the commands for a worker to their message.
 func EncodeExchange(e briarspring.Exchange) *ppb.ExchangeRequest {
 	m := &ppb.ExchangeRequest{
 		Worker: e.Worker, Epoch: e.Epoch, LeaseUntilMs: millis(e.LeaseUntil), Incarnation: e.Incarnation,
@@ -139,7 +139,8 @@
 	return m
 }
 
-// DecodeWorkerReport maps a message to a worker's report.
+// DecodeWorkerReport maps a message to a worker's report; errors are
+// *MalformedError.
 func DecodeWorkerReport(m *ppb.ExchangeResponse) (briarspring.WorkerReport, error) {
 	r := briarspring.WorkerReport{
 		Clock: fromMillis(m.GetClockMs()), Incarnation: m.GetIncarnation(), Epoch: m.GetEpoch(),
--- a/encoder/workflow.go
+++ b/encoder/workflow.go
@@ -12,8 +12,8 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// Submission returns the bytes of an accepted workflow. Its ID stands in the
-// record's key.
+// Submission encodes an accepted workflow, without its ID, which is the key of
+// the record.
 func Submission(w *briarspring.Workflow) ([]byte, error) {
 	m := &pb.Submission{
 		Queue: w.Queue, Service: w.Service, Specification: w.Specification,
@@ -25,8 +25,8 @@
 	return proto.Marshal(m)
 }
 
-// EncodeRecurrence returns the message of a recurrence; nil for one of steps that
-// run once, at once.
+// EncodeRecurrence maps a recurrence to its message; nil when the steps run
+// once, without a start time.
 func EncodeRecurrence(r briarspring.Recurrence) *pb.Recurrence {
 	if r.Times == 0 {
 		return nil
@@ -34,7 +34,8 @@
 	return &pb.Recurrence{Times: int32(r.Times), FirstDueMs: r.First.UnixMilli(), IntervalMs: r.Interval.Milliseconds()}
 }
 
-// DecodeRecurrence returns how often and when steps run, or a *MalformedError.
+// DecodeRecurrence maps a message to a recurrence; errors are
+// *MalformedError.
 func DecodeRecurrence(m *pb.Recurrence) (briarspring.Recurrence, error) {
 	if m == nil {
 		return briarspring.Recurrence{}, nil
@@ -46,7 +47,7 @@
 	return r, nil
 }
 
-// EncodeSteps returns the messages of a workflow's steps.
+// EncodeSteps maps the steps of a workflow to their messages.
 func EncodeSteps(steps []briarspring.Step) []*pb.WorkflowStep {
 	var list []*pb.WorkflowStep
 	for _, s := range steps {
@@ -70,8 +71,7 @@
 	return m
 }
 
-// DecodeSubmission returns the workflow that a record holds, or a
-// *MalformedError.
+// DecodeSubmission decodes an accepted workflow; errors are *MalformedError.
 func DecodeSubmission(id briarspring.WorkflowID, data []byte) (*briarspring.Workflow, error) {
 	var m pb.Submission
 	if err := proto.Unmarshal(data, &m); err != nil {
@@ -91,10 +91,11 @@
 	return w, err
 }
 
-// DecodeSteps returns the steps of a workflow, or a *MalformedError.
+// DecodeSteps maps messages to the steps of a workflow; errors are
+// *MalformedError.
 func DecodeSteps(list []*pb.WorkflowStep) ([]briarspring.Step, error) {
 	if len(list) == 0 {
-		return nil, malformed("workflow", "it has no steps")
+		return nil, malformed("workflow", "no steps")
 	}
 	var steps []briarspring.Step
 	for i, m := range list {
@@ -123,42 +124,43 @@
 		return s, malformed("workflow", "step %d has %d tasks", i, s.Tasks)
 	}
 	if m.MilliCpu < 0 || m.MemoryMib < 0 || m.Accelerators < 0 || m.EstimateMs < 0 || m.MaxPerWorker < 0 || m.TailTargetUs < 0 || m.MaxMissing < 0 {
-		return s, malformed("workflow", "step %d has a negative amount", i)
+		return s, malformed("workflow", "step %d has a negative resource amount, time or limit", i)
 	}
 	for _, a := range m.After {
 		if a < 0 || int(a) >= i {
-			return s, malformed("workflow", "step %d comes after step %d", i, a)
+			return s, malformed("workflow", "step %d depends on step %d, which is not an earlier step", i, a)
 		}
 		s.After = append(s.After, int(a))
 	}
 	return s, nil
 }
 
-// PhaseMark returns the bytes of a workflow's phase.
+// PhaseMark encodes a workflow's phase.
 func PhaseMark(p briarspring.Phase) ([]byte, error) {
 	return proto.Marshal(&pb.PhaseMark{Phase: int32(p)})
 }
 
-// DecodePhaseMark returns a workflow's phase, or a *MalformedError.
+// DecodePhaseMark decodes a workflow's phase; errors are *MalformedError.
 func DecodePhaseMark(data []byte) (briarspring.Phase, error) {
 	var m pb.PhaseMark
 	if err := proto.Unmarshal(data, &m); err != nil {
 		return 0, &MalformedError{What: "phase", Cause: err}
 	}
 	if m.Phase < 0 || m.Phase > int32(briarspring.PhaseCancelled) {
-		return 0, malformed("phase", "%d is no phase", m.Phase)
+		return 0, malformed("phase", "unknown phase %d", m.Phase)
 	}
 	return briarspring.Phase(m.Phase), nil
 }
 
-// DataCentreClaim returns the bytes of a claim.
+// DataCentreClaim encodes an owner's claim to a data centre.
 func DataCentreClaim(c briarspring.DataCentreClaim) ([]byte, error) {
 	return proto.Marshal(&pb.DataCentreClaim{
 		DataCentre: c.DataCentre, Previous: c.Previous, Owner: c.Owner, Incarnation: c.Incarnation,
 	})
 }
 
-// DecodeDataCentreClaim returns a claim, or a *MalformedError.
+// DecodeDataCentreClaim decodes an owner's claim to a data centre; errors are
+// *MalformedError.
 func DecodeDataCentreClaim(data []byte) (briarspring.DataCentreClaim, error) {
 	var m pb.DataCentreClaim
 	if err := proto.Unmarshal(data, &m); err != nil {
@@ -169,7 +171,7 @@
 	}, nil
 }
 
-// OwnerBeat returns the bytes of an owner's sign of life.
+// OwnerBeat encodes an owner's heartbeat.
 func OwnerBeat(b briarspring.OwnerBeat) ([]byte, error) {
 	m := &pb.OwnerBeat{
 		Token: b.Token, BacklogMilliCpuSeconds: b.Backlog, FreeMilliCpu: b.Free, TotalMilliCpu: b.Total,
@@ -181,7 +183,7 @@
 	return proto.Marshal(m)
 }
 
-// DecodeOwnerBeat returns an owner's sign of life, or a *MalformedError.
+// DecodeOwnerBeat decodes an owner's heartbeat; errors are *MalformedError.
 func DecodeOwnerBeat(data []byte) (briarspring.OwnerBeat, error) {
 	var m pb.OwnerBeat
 	if err := proto.Unmarshal(data, &m); err != nil {
@@ -197,12 +199,13 @@
 	return b, nil
 }
 
-// HostPresence returns the bytes of a process's presence.
+// HostPresence encodes the presence record of a host process.
 func HostPresence(p briarspring.HostPresence) ([]byte, error) {
 	return proto.Marshal(&pb.HostPresence{DataCentre: p.DataCentre, Incarnation: p.Incarnation, MilliCpu: int32(p.MilliCPU)})
 }
 
-// DecodeHostPresence returns a process's presence, or a *MalformedError.
+// DecodeHostPresence decodes the presence record of a host process; errors are
+// *MalformedError.
 func DecodeHostPresence(data []byte) (briarspring.HostPresence, error) {
 	var m pb.HostPresence
 	if err := proto.Unmarshal(data, &m); err != nil {
@@ -211,37 +214,38 @@
 	return briarspring.HostPresence{DataCentre: m.DataCentre, Incarnation: m.Incarnation, MilliCPU: int(m.MilliCpu)}, nil
 }
 
-// RunProgress returns the bytes of a workflow's tasks that have run.
+// RunProgress encodes the progress of those tasks of a workflow that have run.
 func RunProgress(tasks []briarspring.TaskProgress) ([]byte, error) {
-	return proto.Marshal(&pb.WorkflowProgress{Tasks: encodeTasks(tasks)})
+	return proto.Marshal(&pb.WorkflowProgress{Tasks: encodeTaskProgress(tasks)})
 }
 
-// DecodeRunProgress returns a workflow's tasks that have run, or a
-// *MalformedError.
+// DecodeRunProgress decodes the progress of those tasks of a workflow that have
+// run; errors are *MalformedError.
 func DecodeRunProgress(data []byte) ([]briarspring.TaskProgress, error) {
 	var m pb.WorkflowProgress
 	if err := proto.Unmarshal(data, &m); err != nil {
 		return nil, &MalformedError{What: "progress", Cause: err}
 	}
-	return decodeTasks("progress", m.Tasks)
+	return decodeTaskProgress("progress", m.Tasks)
 }
 
-// TaskTransfer returns the bytes of a transfer.
+// TaskTransfer encodes a transfer of tasks between data centres.
 func TaskTransfer(t briarspring.TaskTransfer) ([]byte, error) {
-	return proto.Marshal(&pb.TaskTransfer{Token: t.Token, From: t.From, To: t.To, Tasks: encodeTasks(t.Tasks)})
+	return proto.Marshal(&pb.TaskTransfer{Token: t.Token, From: t.From, To: t.To, Tasks: encodeTaskProgress(t.Tasks)})
 }
 
-// DecodeTaskTransfer returns a transfer, or a *MalformedError.
+// DecodeTaskTransfer decodes a transfer of tasks between data centres; errors
+// are *MalformedError.
 func DecodeTaskTransfer(data []byte) (briarspring.TaskTransfer, error) {
 	var m pb.TaskTransfer
 	if err := proto.Unmarshal(data, &m); err != nil {
 		return briarspring.TaskTransfer{}, &MalformedError{What: "transfer", Cause: err}
 	}
-	tasks, err := decodeTasks("transfer", m.Tasks)
+	tasks, err := decodeTaskProgress("transfer", m.Tasks)
 	return briarspring.TaskTransfer{Token: m.Token, From: m.From, To: m.To, Tasks: tasks}, err
 }
 
-func encodeTasks(tasks []briarspring.TaskProgress) []*pb.TaskProgress {
+func encodeTaskProgress(tasks []briarspring.TaskProgress) []*pb.TaskProgress {
 	list := make([]*pb.TaskProgress, 0, len(tasks))
 	for _, t := range tasks {
 		list = append(list, &pb.TaskProgress{
@@ -252,11 +256,11 @@
 	return list
 }
 
-func decodeTasks(what string, list []*pb.TaskProgress) ([]briarspring.TaskProgress, error) {
+func decodeTaskProgress(what string, list []*pb.TaskProgress) ([]briarspring.TaskProgress, error) {
 	tasks := make([]briarspring.TaskProgress, 0, len(list))
 	for _, t := range list {
 		if t.Position < 0 {
-			return nil, malformed(what, "position %d", t.Position)
+			return nil, malformed(what, "negative task position %d", t.Position)
 		}
 		tasks = append(tasks, briarspring.TaskProgress{
 			Position: int(t.Position), Done: t.Done, FailedRuns: t.FailedRuns, Run: t.Run,
@@ -266,7 +270,7 @@
 	return tasks, nil
 }
 
-// Retirement returns the bytes of an owner's retirement.
+// Retirement encodes an owner's retirement.
 func Retirement(r briarspring.Retirement) ([]byte, error) {
 	m := &pb.Retirement{Token: r.Token}
 	for _, w := range r.Silent {
@@ -275,7 +279,7 @@
 	return proto.Marshal(m)
 }
 
-// DecodeRetirement returns an owner's retirement, or a *MalformedError.
+// DecodeRetirement decodes an owner's retirement; errors are *MalformedError.
 func DecodeRetirement(data []byte) (briarspring.Retirement, error) {
 	var m pb.Retirement
 	if err := proto.Unmarshal(data, &m); err != nil {
@@ -290,31 +294,32 @@
 	return r, nil
 }
 
-// PressModels returns the bytes of what an owner has learned.
+// PressModels encodes the interference models that an owner has learned.
 func PressModels(models []briarspring.PressModel) ([]byte, error) {
 	m := &pb.PressModels{}
 	for _, model := range models {
-		one := &pb.PressModel{Serving: model.Serving, Constant: model.Constant}
+		message := &pb.PressModel{Serving: model.Serving, Constant: model.Constant}
 		for _, p := range model.Pairs {
-			one.Pairs = append(one.Pairs, &pb.PressPair{Image: p.Image, Rise: p.Rise, Variance: p.Variance})
+			message.Pairs = append(message.Pairs, &pb.PressPair{Image: p.Image, Rise: p.Rise, Variance: p.Variance})
 		}
-		m.Models = append(m.Models, one)
+		m.Models = append(m.Models, message)
 	}
 	return proto.Marshal(m)
 }
 
-// DecodePressModels returns what an owner has learned, or a *MalformedError.
+// DecodePressModels decodes the interference models that an owner has learned;
+// errors are *MalformedError.
 func DecodePressModels(data []byte) ([]briarspring.PressModel, error) {
 	var m pb.PressModels
 	if err := proto.Unmarshal(data, &m); err != nil {
 		return nil, &MalformedError{What: "model", Cause: err}
 	}
 	var models []briarspring.PressModel
-	for _, one := range m.Models {
-		model := briarspring.PressModel{Serving: one.Serving, Constant: one.Constant}
-		for _, p := range one.Pairs {
+	for _, message := range m.Models {
+		model := briarspring.PressModel{Serving: message.Serving, Constant: message.Constant}
+		for _, p := range message.Pairs {
 			if !(p.Variance > 0) || math.IsNaN(p.Rise) || math.IsInf(p.Rise, 0) {
-				return nil, malformed("model", "rise %g with variance %g", p.Rise, p.Variance)
+				return nil, malformed("model", "invalid rise %g or variance %g", p.Rise, p.Variance)
 			}
 			model.Pairs = append(model.Pairs, briarspring.PressPair{Image: p.Image, Rise: p.Rise, Variance: p.Variance})
 		}
