--- a/errors.go
+++ b/errors.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// InvalidError tells why an object or command is refused as it stands.
+// InvalidError reports why an object or command is not valid.
 type InvalidError struct {
-	Object string // Kind and name, "service/ledger".
+	Object string // Kind and name, such as "service/ledger".
 	Reason string
 }
 
 // Error implements error.
 func (e *InvalidError) Error() string { return fmt.Sprintf("%s: %s", e.Object, e.Reason) }
 
-// ConflictError tells that a command was based on a version that is no longer
-// in force.
+// ConflictError reports that a command was based on a version that is no longer
+// current.
 type ConflictError struct {
 	Object   string
 	Expected uint64 // Version that the command was based on.
-	InForce  uint64 // Version that the log's order put in force.
+	InForce  uint64 // Current version according to the log.
 }
 
 // Error implements error.
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s: based on version %d, but version %d is in force", e.Object, e.Expected, e.InForce)
 }
 
-// NotFoundError tells that an object does not exist.
+// NotFoundError reports that an object does not exist.
 type NotFoundError struct {
 	Object string
 }
@@ -32,7 +32,7 @@
 // Error implements error.
 func (e *NotFoundError) Error() string { return e.Object + " does not exist" }
 
-// VoidError tells why a placement event has no effect.
+// VoidError reports why a placement event has no effect.
 type VoidError struct {
 	Event  string
 	Reason string
--- a/header.go
+++ b/header.go
@@ -1,27 +1,28 @@
 package briarspring
 
-// Headers of callers' requests and of their answers.
+// HTTP headers of callers' requests and their responses.
 const (
-	// HeaderTimeout bounds a request; a Go duration such as "250ms".
+	// HeaderTimeout is the timeout of a request, a Go duration such as "250ms".
 	HeaderTimeout = "Briarspring-Timeout"
-	// HeaderIdempotent is "true" when a request may run more than once.
+	// HeaderIdempotent is "true" if a request may run more than once.
 	HeaderIdempotent = "Briarspring-Idempotent"
-	// HeaderRequestID names a request; upstreams echo it.
+	// HeaderRequestID identifies a request; upstreams echo it.
 	HeaderRequestID = "Briarspring-Request-Id"
-	// HeaderOutcome tells in an answer whether the request ran.
+	// HeaderOutcome is the Outcome of the request, set on responses.
 	HeaderOutcome = "Briarspring-Outcome"
-	// HeaderLeaving tells in an upstream's answer that it takes no new work.
+	// HeaderLeaving is set on an upstream's response when it is draining and
+	// accepts no new requests.
 	HeaderLeaving = "Briarspring-Leaving"
-	// HeaderHop marks a request that a gateway of another data centre passed on.
+	// HeaderHop marks a request that a gateway of another data centre forwarded.
 	HeaderHop = "Briarspring-Hop"
 )
 
-// Outcome tells whether a request ran.
+// Outcome says whether a request ran.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	OutcomeServed  Outcome = "served"  // The upstream's whole answer follows.
-	OutcomeNotRun  Outcome = "not-run" // No upstream ran the request or will.
+	OutcomeServed  Outcome = "served"  // The response is the upstream's, complete.
+	OutcomeNotRun  Outcome = "not-run" // No upstream has run the request or will run it.
 	OutcomeUnknown Outcome = "unknown" // The request may have run.
 )
--- a/job.go
+++ b/job.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// MaxTasks bounds the tasks of one job.
+	// MaxTasks is the maximum number of tasks of a job or workflow.
 	MaxTasks = 100000
-	// MaxWeight bounds the weight of a job.
+	// MaxWeight is the maximum weight of a job.
 	MaxWeight = 1000
-	// MaxTries bounds the starts of a failing task.
+	// MaxTries is the maximum number of starts of a failing task.
 	MaxTries = 100
 )
 
@@ -15,13 +15,13 @@
 type JobConfig struct {
 	Name      string
 	Team      string
-	Class     string // Jobs of one class disturb services alike.
+	Class     string // Jobs of a class cause the same interference to services.
 	Tasks     uint32
-	Resources Resources     // Declared needs of one task.
-	Weight    uint32        // Higher weights are placed first.
+	Resources Resources     // Declared requirements of one task.
+	Weight    uint32        // Jobs with higher weights are placed first.
 	RunTime   time.Duration // Declared run time of one task.
-	Command   string        // What the worker runs.
-	MaxTries  uint32        // Starts of a failing task before it is given up.
+	Command   string        // Command that the worker runs.
+	MaxTries  uint32        // Starts of a failing task before it counts as failed.
 }
 
 // Job is a batch workload of independent tasks.
@@ -29,24 +29,25 @@
 	c JobConfig
 }
 
-// NewJob checks c and returns the job, or an *InvalidError.
+// NewJob validates c and returns the job, or an *InvalidError.
 func NewJob(c JobConfig) (Job, error) {
 	j := Job{c: c}
-	if why := j.check(); why != "" {
-		return Job{}, &InvalidError{Object: "job/" + c.Name, Reason: why}
+	if problem := j.check(); problem != "" {
+		return Job{}, &InvalidError{Object: "job/" + c.Name, Reason: problem}
 	}
 	return j, nil
 }
 
+// check returns why the job is invalid, or "".
 func (j Job) check() string {
-	if why := checkNames(j.c.Name, j.c.Team); why != "" {
-		return why
+	if problem := checkNames(j.c.Name, j.c.Team); problem != "" {
+		return problem
 	}
 	if !nameRe.MatchString(j.c.Class) {
 		return "class must be 1 to 63 lower-case letters, digits and hyphens"
 	}
-	if why := j.c.Resources.check(); why != "" {
-		return why
+	if problem := j.c.Resources.check(); problem != "" {
+		return problem
 	}
 	if j.c.RunTime <= 0 {
 		return "run time must be above zero"
@@ -61,16 +62,16 @@
 // Name returns the job's unique name.
 func (j Job) Name() string { return j.c.Name }
 
-// Team returns the team whose quota the job draws on.
+// Team returns the team whose quota the job's tasks count against.
 func (j Job) Team() string { return j.c.Team }
 
-// Class returns the class of jobs that disturb services alike.
+// Class returns the class of jobs that cause the same interference to services.
 func (j Job) Class() string { return j.c.Class }
 
 // Tasks returns the number of tasks.
 func (j Job) Tasks() uint32 { return j.c.Tasks }
 
-// Resources returns the declared needs of one task.
+// Resources returns the declared requirements of one task.
 func (j Job) Resources() Resources { return j.c.Resources }
 
 // Weight returns the job's weight.
@@ -79,8 +80,8 @@
 // RunTime returns the declared run time of one task.
 func (j Job) RunTime() time.Duration { return j.c.RunTime }
 
-// Command returns what the worker runs.
+// Command returns the command that the worker runs.
 func (j Job) Command() string { return j.c.Command }
 
-// MaxTries returns how often a failing task is started.
+// MaxTries returns the maximum number of starts of a failing task.
 func (j Job) MaxTries() uint32 { return j.c.MaxTries }
--- a/quota.go
+++ b/quota.go
@@ -3,19 +3,19 @@
 // QuotaConfig holds the fields of a Quota.
 type QuotaConfig struct {
 	Team              string
-	Resources         Resources // Held by the team's batch tasks at once, in all.
-	RequestsPerSecond uint32    // Accepted at each gateway; zero means no bound.
+	Resources         Resources // Total that the team's batch tasks may use at once.
+	RequestsPerSecond uint32    // Limit at each gateway; zero means no limit.
 }
 
-// Quota bounds what one team may hold at the same time.
+// Quota limits the resources and the request rate of a team.
 type Quota struct {
 	c QuotaConfig
 }
 
-// NewQuota checks c and returns the quota, or an *InvalidError.
+// NewQuota validates c and returns the quota, or an *InvalidError.
 func NewQuota(c QuotaConfig) (Quota, error) {
-	if why := checkNames(c.Team, c.Team); why != "" {
-		return Quota{}, &InvalidError{Object: "quota/" + c.Team, Reason: why}
+	if problem := checkNames(c.Team, c.Team); problem != "" {
+		return Quota{}, &InvalidError{Object: "quota/" + c.Team, Reason: problem}
 	}
 	if c.Resources.milliCPU < 0 || c.Resources.memoryMiB < 0 || c.Resources.accelerators < 0 {
 		return Quota{}, &InvalidError{Object: "quota/" + c.Team, Reason: "resources can't be negative"}
@@ -23,11 +23,11 @@
 	return Quota{c: c}, nil
 }
 
-// Team returns the team that the quota bounds.
+// Team returns the team that the quota applies to.
 func (q Quota) Team() string { return q.c.Team }
 
-// Resources returns what the team's batch tasks may hold at once.
+// Resources returns the total that the team's batch tasks may use at once.
 func (q Quota) Resources() Resources { return q.c.Resources }
 
-// RequestsPerSecond returns the bound at each gateway; zero means none.
+// RequestsPerSecond returns the limit at each gateway; zero means no limit.
 func (q Quota) RequestsPerSecond() uint32 { return q.c.RequestsPerSecond }
--- a/record.go
+++ b/record.go
@@ -1,59 +1,60 @@
 package briarspring
 
-// ConfigStream is the stream of operators' commands, summaries and transfers.
+// ConfigStream is the name of the stream of operators' commands, summaries and
+// transfers.
 const ConfigStream = "config"
 
 // PlacementStream returns the name of a data centre's placement stream.
 func PlacementStream(dataCentre string) string { return "placement-" + dataCentre }
 
-// Writer names a process in one of its lives.
+// Writer identifies one incarnation of a process.
 type Writer struct {
 	Name        string
-	Incarnation uint64 // Grows with every restart.
+	Incarnation uint64 // Increases with every restart.
 }
 
-// Record is one entry of the platform's log.
+// Record is an entry of the platform's log.
 type Record struct {
 	Writer   Writer
-	Sequence uint64 // Grows by one with every record of the writer in a stream.
+	Sequence uint64 // Increases by one with each of the writer's records in a stream.
 	Body     Body
 }
 
-// Body is what a record says: Command, Summary, Transfer, Batch or
+// Body is the content of a record: a Command, Summary, Transfer, Batch or
 // SnapshotChunk.
 type Body interface{ body() }
 
-// Command is one change that an operator asked for.
+// Command is a change that an operator requested.
 type Command struct {
 	RequestID       string
 	ExpectedVersion uint64 // Zero when the object must not exist yet.
 	Change          Change
 }
 
-// Change is what a command does.
+// Change is the change that a command makes.
 type Change interface{ change() }
 
-// The changes that operators can ask for.
+// The changes that operators can request.
 type (
-	// PutService creates or changes a service.
+	// PutService creates or updates a service.
 	PutService struct{ Service Service }
-	// PutJob creates or changes a job.
+	// PutJob creates or updates a job.
 	PutJob struct{ Job Job }
-	// PutQuota creates or changes a team's quota.
+	// PutQuota creates or updates a team's quota.
 	PutQuota struct{ Quota Quota }
-	// DeleteService ends a service.
+	// DeleteService stops a service and deletes it.
 	DeleteService struct{ Name string }
-	// DeleteJob ends a job and removes it from the lists.
+	// DeleteJob stops a job and deletes it.
 	DeleteJob struct{ Name string }
-	// DeleteQuota removes a team's quota.
+	// DeleteQuota deletes a team's quota.
 	DeleteQuota struct{ Team string }
-	// CancelJobs ends many jobs with one record.
+	// CancelJobs cancels several jobs in one record.
 	CancelJobs struct{ Names []string }
 	// TakeOut takes a data centre out of service.
 	TakeOut struct{ DataCentre string }
-	// Return brings a data centre back.
+	// Return puts a data centre back into service.
 	Return struct{ DataCentre string }
-	// DeclareLost tells that a worker will never run its tasks again.
+	// DeclareLost asserts that a worker will never run its tasks again.
 	DeclareLost struct{ Worker string }
 )
 
@@ -77,7 +78,8 @@
 	Evictions uint32
 }
 
-// Summary is what a data centre's owner publishes for the others.
+// Summary is the state of a data centre that its owner publishes to the other
+// data centres.
 type Summary struct {
 	DataCentre string
 	Epoch      uint64
@@ -85,16 +87,16 @@
 	Capacity   Resources
 	Committed  Resources
 	Workers    uint32
-	Largest    Resources // Capacity of the largest worker, field by field.
+	Largest    Resources // Largest capacity among the workers, for each resource separately.
 	Progress   []Progress
 }
 
-// Transfer gives tasks from one data centre to another.
+// Transfer moves tasks from one data centre to another.
 type Transfer struct {
 	Workload WorkloadID
 	From     string
 	To       string
-	Granted  uint64 // Void for tasks assigned to From after this offset.
+	Granted  uint64 // Tasks assigned to From after this offset don't move.
 	Tasks    []TaskState
 }
 
@@ -104,13 +106,13 @@
 	Events []Event
 }
 
-// SnapshotChunk is one part of a snapshot of the stream it stands in.
+// SnapshotChunk is a part of a snapshot of the stream that contains it.
 type SnapshotChunk struct {
 	Covers   uint64 // Offset of the last record that the snapshot covers.
 	Index    uint32
 	Count    uint32
 	Data     []byte
-	Checksum uint64 // Of the whole snapshot.
+	Checksum uint64 // Checksum of the whole snapshot.
 }
 
 func (Command) body()       {}
@@ -119,60 +121,61 @@
 func (Batch) body()         {}
 func (SnapshotChunk) body() {}
 
-// Event is one placement decision or observation.
+// Event is a placement decision or observation.
 type Event interface{ event() }
 
 // The events of a placement stream.
 type (
-	// Claim makes its writer the owner at the next epoch.
+	// Claim makes its writer the owner in the next epoch.
 	Claim struct{}
-	// Beat shows that the owner lives.
+	// Beat is the owner's heartbeat.
 	Beat struct{}
-	// Resign tells that the owner will do nothing more under its epoch.
+	// Resign records that the owner does nothing more in its epoch.
 	Resign struct{}
-	// WorkerJoin makes a worker usable; a new incarnation ends what ran there.
+	// WorkerJoin makes a worker usable. A new incarnation ends all attempts on it.
 	WorkerJoin struct {
 		Name        string
 		Incarnation uint64
 		Rack        string
 		Capacity    Resources
 	}
-	// WorkerGone ends every attempt on a worker whose lease has lapsed.
+	// WorkerGone ends all attempts on a worker whose lease has expired.
 	WorkerGone struct {
 		Worker   uint32
-		Declared uint64 // Offset of the command that declared it lost, or zero.
+		Declared uint64 // Offset of the DeclareLost command; zero if there was none.
 	}
-	// Adopt makes tasks placeable that the configuration assigned.
+	// Adopt makes tasks placeable that the configuration assigned to the data
+	// centre.
 	Adopt struct {
 		Workload  WorkloadID
-		Offset    uint64 // Of the configuration record that assigned them.
+		Offset    uint64 // Offset of the configuration record that assigned the tasks.
 		Resources Resources
 		Service   bool
 		MaxTries  uint32
-		First     uint32 // Half-open range of fresh tasks.
+		First     uint32 // Start of the half-open range of tasks that never ran.
 		End       uint32
 		Tasks     []TaskState // Tasks that may have run before.
-		Seen      uint64      // Configuration offset that the writer had applied.
+		Seen      uint64      // Last configuration offset that the writer had applied.
 	}
 	// Start places an attempt on a worker.
 	Start struct {
 		Attempt AttemptID
 		Worker  uint32
 	}
-	// Ready tells the address of a service's executor.
+	// Ready records the address of a service's executor.
 	Ready struct {
 		Attempt AttemptID
 		Address string
 	}
-	// End closes an attempt on the worker's word.
+	// End records that an attempt ended, as its worker reported.
 	End struct {
 		Attempt    AttemptID
 		Reason     EndReason
 		Checkpoint uint64
 	}
-	// EvictIntent tells that an attempt is to be checkpointed and stopped.
+	// EvictIntent records that an attempt will be checkpointed and stopped.
 	EvictIntent struct{ Attempt AttemptID }
-	// Release makes waiting tasks unplaceable before their transfer.
+	// Release makes waiting tasks unplaceable before they are transferred.
 	Release struct {
 		Workload WorkloadID
 		To       string
@@ -184,10 +187,10 @@
 		First    uint32
 		End      uint32
 	}
-	// Forget drops a workload that has nothing left here.
+	// Forget drops a workload that has no tasks left in the data centre.
 	Forget struct {
 		Workload WorkloadID
-		Seen     uint64 // Configuration offset that the writer had applied.
+		Seen     uint64 // Last configuration offset that the writer had applied.
 	}
 )
 
--- a/resources.go
+++ b/resources.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// MilliCPUPerCore is the number of processor units in one core.
+// MilliCPUPerCore is the number of thousandths in one core.
 const MilliCPUPerCore = 1000
 
 // ResourcesConfig holds the fields of a Resources value.
@@ -21,15 +21,15 @@
 	accelerators int64
 }
 
-// NewResources returns the amount that c describes.
+// NewResources returns the Resources that c describes.
 func NewResources(c ResourcesConfig) Resources {
 	return Resources{milliCPU: c.MilliCPU, memoryMiB: c.MemoryMiB, accelerators: c.Accelerators}
 }
 
-// MilliCPU returns processor time in thousandths of a core.
+// MilliCPU returns the processors in thousandths of a core.
 func (r Resources) MilliCPU() int64 { return r.milliCPU }
 
-// MemoryMiB returns memory in mebibytes.
+// MemoryMiB returns the memory in mebibytes.
 func (r Resources) MemoryMiB() int64 { return r.memoryMiB }
 
 // Accelerators returns the number of whole accelerators.
@@ -40,7 +40,7 @@
 	return Resources{r.milliCPU + o.milliCPU, r.memoryMiB + o.memoryMiB, r.accelerators + o.accelerators}
 }
 
-// Sub returns r less o; fields may become negative.
+// Sub returns r minus o; fields may become negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.milliCPU - o.milliCPU, r.memoryMiB - o.memoryMiB, r.accelerators - o.accelerators}
 }
@@ -50,12 +50,12 @@
 	return Resources{r.milliCPU * n, r.memoryMiB * n, r.accelerators * n}
 }
 
-// Fits reports whether r is at most o in every field.
+// Fits reports whether no field of r exceeds that of o.
 func (r Resources) Fits(o Resources) bool {
 	return r.milliCPU <= o.milliCPU && r.memoryMiB <= o.memoryMiB && r.accelerators <= o.accelerators
 }
 
-// Max returns the larger of both amounts in every field.
+// Max returns the maximum of each field.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.milliCPU, o.milliCPU), max(r.memoryMiB, o.memoryMiB), max(r.accelerators, o.accelerators)}
 }
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("%dm/%dMiB/%da", r.milliCPU, r.memoryMiB, r.accelerators)
 }
 
-// check returns why the amount can't be the needs of one task, or "".
+// check returns why r is invalid as the requirements of one task, or "".
 func (r Resources) check() string {
 	if r.milliCPU <= 0 {
 		return "processors must be above zero"
--- a/store.go
+++ b/store.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// TrimmedError tells that records that were asked for are no longer kept.
+// TrimmedError reports that requested records are no longer retained.
 type TrimmedError struct {
 	Stream string
-	First  uint64 // Oldest offset that is kept.
+	First  uint64 // Oldest offset that is retained.
 }
 
 // Error implements error.
@@ -13,10 +13,10 @@
 	return fmt.Sprintf("stream %s: records before offset %d are no longer kept", e.Stream, e.First)
 }
 
-// FencedError tells that a newer writer has taken a stream over.
+// FencedError reports that a newer writer has taken over a stream.
 type FencedError struct {
 	Stream string
-	Epoch  uint64 // Of the refused append.
+	Epoch  uint64 // Epoch of the refused append.
 }
 
 // Error implements error.
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("stream %s: epoch %d was replaced by a newer one", e.Stream, e.Epoch)
 }
 
-// NotDoneError tells that the platform certainly did nothing.
+// NotDoneError reports that the platform certainly did not carry out a call.
 type NotDoneError struct {
 	Call   string
 	Reason string
@@ -33,7 +33,8 @@
 // Error implements error.
 func (e *NotDoneError) Error() string { return e.Call + " was refused: " + e.Reason }
 
-// DoubtError tells that a call may have been carried out, or may be later.
+// DoubtError reports that the outcome of a call is unknown: it may have been
+// carried out, or may still be.
 type DoubtError struct {
 	Call  string
 	Cause error
@@ -45,8 +46,8 @@
 // Unwrap returns the cause.
 func (e *DoubtError) Unwrap() error { return e.Cause }
 
-// NewConnectionError tells that a call was not sent, because its connection is
-// new and the worker may have begun a new life.
+// NewConnectionError reports that a call was not sent because its connection is
+// new, so the worker may have restarted.
 type NewConnectionError struct {
 	Address string
 }
@@ -54,7 +55,8 @@
 // Error implements error.
 func (e *NewConnectionError) Error() string { return "the connection to " + e.Address + " is new" }
 
-// SequenceError tells that an append does not follow the writer's last one.
+// SequenceError reports that the sequence number of an append does not follow
+// that of the writer's last append.
 type SequenceError struct {
 	Stream   string
 	Sent     uint64
--- a/stream.go
+++ b/stream.go
@@ -4,106 +4,109 @@
 
 // Names of the keyed streams that hosts share.
 const (
-	// SharedStream holds submissions, cancellations, phases, claims and beats.
+	// SharedStream holds submissions, cancellations, phases, claims and
+	// heartbeats.
 	SharedStream = "shared"
-	// DirectoryStream holds the operators' queues and the data centres out of
-	// service.
+	// DirectoryStream holds the operators' queues and the list of data centres
+	// out of service.
 	DirectoryStream = "directory"
-	// WorkersStream holds the entries of the workers.
+	// WorkersStream holds the workers' entries.
 	WorkersStream = "workers"
 )
 
-// ProgressStream returns the stream of the runs of a data centre.
+// ProgressStream returns the name of the stream with the progress of tasks in a
+// data centre.
 func ProgressStream(dataCentre string) string { return "progress." + dataCentre }
 
-// KeyedRecord is the newest word on a key. A record without a value drops the
-// key.
+// KeyedRecord is the latest record of a key. A record without a value deletes
+// the key.
 type KeyedRecord struct {
 	Key    string
 	Value  []byte
 	Offset uint64
 }
 
-// KeyedPage is the answer to a read of a keyed stream.
+// KeyedPage is the result of reading a keyed stream.
 type KeyedPage struct {
 	Records []KeyedRecord
-	Next    uint64 // Offset to read on from.
-	End     uint64 // Offset of the next append, as far as the answer knows.
+	Next    uint64 // Offset at which the next read starts.
+	End     uint64 // Offset of the next append at the time of the reply.
 }
 
-// Fence identifies the single writer of a stream. A zero epoch is no fence.
+// Fence identifies the only writer of a stream. With a zero epoch, appends are
+// not fenced.
 type Fence struct {
-	Epoch    uint64 // Lower epochs are refused once a higher one was seen.
-	Sequence uint64 // Grows by one with each append of the epoch.
+	Epoch    uint64 // Appends of lower epochs are refused once a higher one was seen.
+	Sequence uint64 // Increases by one with each append in the epoch.
 }
 
-// DataCentreClaim makes a host the owner of a data centre's workers, if it
-// follows the claim that is in force.
+// DataCentreClaim makes a host the owner of a data centre's workers if it
+// follows the current claim.
 type DataCentreClaim struct {
 	DataCentre  string
-	Previous    uint64 // Token of the claim that it follows; zero for the first one.
+	Previous    uint64 // Token of the preceding claim; zero for the first one.
 	Owner       string // Name of the host.
 	Incarnation int64
 }
 
-// OwnerBeat is an owner's sign of life, with its load.
+// OwnerBeat is an owner's heartbeat with the load of its workers.
 type OwnerBeat struct {
 	Token   uint64
-	Backlog int64            // Declared work that waits, in thousandths of a core times seconds.
-	Free    int64            // Thousandths of a core that are not reserved.
-	Largest int64            // The same of the worker with most of them.
-	Total   int64            // Thousandths of a core of all usable workers.
-	Rooms   map[string]int64 // By image: idle thousandths of a core that its tasks could use, less what waits for them.
+	Backlog int64            // Declared work that is waiting, in thousandths of a core times seconds.
+	Free    int64            // Unreserved thousandths of a core on all workers.
+	Largest int64            // Unreserved thousandths of a core on the worker with the most.
+	Total   int64            // Capacity of all usable workers in thousandths of a core.
+	Rooms   map[string]int64 // Idle thousandths of a core by image that may use them, minus its waiting demand.
 }
 
-// HostPresence is one life of a host's process.
+// HostPresence describes one incarnation of a host's process.
 type HostPresence struct {
 	DataCentre  string
-	Incarnation int64 // Start of the process, Unix milliseconds.
-	MilliCPU    int   // Processors of the host, in thousandths of a core.
+	Incarnation int64 // Start time of the process in Unix milliseconds.
+	MilliCPU    int   // Processors of the host in thousandths of a core.
 }
 
-// TaskProgress is where a task stands that has run at least once.
+// TaskProgress is the state of a task that has run at least once.
 type TaskProgress struct {
-	Position   int // Of the task, counting through all steps.
+	Position   int // Index of the task across all steps.
 	Done       bool
-	FailedRuns []uint32 // Each run counts once, however often its end is listed.
-	Run        uint32   // Highest number that was used.
+	FailedRuns []uint32 // Without duplicates, even if the end of a run was reported repeatedly.
+	Run        uint32   // Highest run number used so far.
 	Checkpoint string
-	Worker     string // Of the run that is alive; empty for none.
+	Worker     string // Worker of the live run; empty if there is none.
 }
 
-// TaskTransfer gives waiting tasks of a workflow to another data centre.
+// TaskTransfer moves waiting tasks of a workflow to another data centre.
 type TaskTransfer struct {
-	Token uint64 // Of the owner that gives them.
+	Token uint64 // Token of the owner of From.
 	From  string
 	To    string
 	Tasks []TaskProgress
 }
 
-// Retirement records that an owner gives no more orders.
+// Retirement records that an owner sends no more orders.
 type Retirement struct {
-	Token  uint64 // Of the claim that is over.
+	Token  uint64 // Token of the claim that ended.
 	Silent []SilentWorker
 }
 
-// SilentWorker is a worker that did not answer an owner when it retired.
+// SilentWorker is a worker that did not respond when its owner retired.
 type SilentWorker struct {
 	Worker    string
-	LeaseLeft time.Duration // After that all its runs have certainly ended.
+	LeaseLeft time.Duration // After this time all its runs have certainly ended.
 }
 
-// PressModel tells how the tails of the tasks of an image follow from what works
-// beside them, as an owner has learned it.
+// PressModel is an owner's estimate of the interference that the tasks of an
+// image suffer: how their tail latency depends on the tasks on the same worker.
 type PressModel struct {
 	Serving  string
-	Constant float64 // Share of the target without anything beside.
+	Constant float64 // Tail latency without other tasks, as a share of the target.
 	Pairs    []PressPair
 }
 
-// PressPair is the rise that an image causes.
+// PressPair is the estimated rise in tail latency that an image causes.
 type PressPair struct {
 	Image    string
-	Rise     float64 // Share of the target for each core in use.
-	Variance float64
+	Rise     float64 // Share of the target per core in use.
+	Variance float64 // Variance of the estimate of Rise.
 }
--- a/task.go
+++ b/task.go
@@ -2,42 +2,42 @@
 
 import "fmt"
 
-// WorkloadID is the offset of the configuration record that created a service
-// or job.
+// WorkloadID identifies a service or job by the offset of the configuration
+// record that created it.
 type WorkloadID uint64
 
-// TaskID names one task of a job or one executor of a service.
+// TaskID identifies a task of a job or an executor of a service.
 type TaskID struct {
 	Workload WorkloadID
 	Index    uint32
 }
 
-// String formats the id as "workload/index".
+// String formats the ID as "workload/index".
 func (t TaskID) String() string { return fmt.Sprintf("%d/%d", t.Workload, t.Index) }
 
-// AttemptID names one start of a task. Attempts count from one.
+// AttemptID identifies one start of a task. Attempts are numbered from one.
 type AttemptID struct {
 	Task    TaskID
 	Attempt uint32
 }
 
-// String formats the id as "workload/index#attempt".
+// String formats the ID as "workload/index#attempt".
 func (a AttemptID) String() string { return fmt.Sprintf("%s#%d", a.Task, a.Attempt) }
 
-// TaskState is what must follow a task from one data centre to another.
+// TaskState is the state that moves with a task to another data centre.
 type TaskState struct {
 	Index      uint32
-	Attempt    uint32 // Last attempt that was started; zero when none was.
-	Checkpoint uint64 // Zero when there is none.
+	Attempt    uint32 // Last attempt that was started; zero if there was none.
+	Checkpoint uint64 // Zero if there is none.
 }
 
-// EndReason tells how an attempt ended.
+// EndReason is the way in which an attempt ended.
 type EndReason uint8
 
-// How an attempt ended.
+// The ways in which an attempt ends.
 const (
-	EndDone       EndReason = 1 // The task finished its work.
-	EndFailed     EndReason = 2 // The task failed by itself.
+	EndDone       EndReason = 1 // The task completed.
+	EndFailed     EndReason = 2 // The task itself failed.
 	EndEvicted    EndReason = 3 // The task was stopped with a checkpoint.
 	EndNotStarted EndReason = 4 // The attempt never ran.
 	EndLost       EndReason = 5 // The worker lost the attempt.
--- a/verdict.go
+++ b/verdict.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Verdict is a worker's answer to an order.
+// Verdict is a worker's reply to an order.
 type Verdict uint8
 
-// The answers to an order.
+// The replies to an order.
 const (
 	VerdictDone       Verdict = iota + 1
-	VerdictUnanswered         // The order may be carried out, now or later.
+	VerdictUnanswered         // No reply: the order may be carried out, now or later.
 	VerdictSuperseded         // The worker has accepted a newer owner's token.
-	VerdictBarred             // The run's number is not above one that ended there.
-	VerdictLate               // The order's time is over.
-	VerdictFull               // The worker has no room.
-	VerdictInvalid            // The worker can't make sense of the order.
-	VerdictUnhealthy          // The worker did nothing, because it is not well.
-	VerdictOtherLife          // The worker is another one by now.
+	VerdictBarred             // The run's number is not above that of an earlier run of the task on the worker.
+	VerdictLate               // The order's deadline has passed.
+	VerdictFull               // The worker lacks free resources.
+	VerdictInvalid            // The worker can't parse or apply the order.
+	VerdictUnhealthy          // The worker is overloaded or unavailable and did nothing.
+	VerdictOtherLife          // Another worker, or a new incarnation, has taken over the address.
 )
 
 // String returns the verdict in kebab case.
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("verdict-%d", uint8(v))
 }
 
-// OrderRefusedError tells that a worker did not carry out an order.
+// OrderRefusedError reports that a worker did not carry out an order.
 type OrderRefusedError struct {
 	Verdict Verdict
 }
@@ -40,8 +40,8 @@
 // Error implements error.
 func (e *OrderRefusedError) Error() string { return "order refused: " + e.Verdict.String() }
 
-// VerdictOf returns the answer that an error stands for. Errors other than
-// *OrderRefusedError leave open whether the order is carried out.
+// VerdictOf returns the verdict that an error stands for. With errors other than
+// *OrderRefusedError, the order may or may not be carried out.
 func VerdictOf(err error) Verdict {
 	var refused *OrderRefusedError
 	switch {
--- a/workflow.go
+++ b/workflow.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// WorkflowID names a workflow; its submitter chooses it.
+// WorkflowID identifies a workflow; the submitter chooses it.
 type WorkflowID string
 
-// NewWorkflowID checks a name that an operator chose, and returns it or an
-// *InvalidError.
+// NewWorkflowID validates a name that an operator chose and returns it as an ID,
+// or an *InvalidError.
 func NewWorkflowID(name string) (WorkflowID, error) {
 	if !nameRe.MatchString(name) {
 		return "", &InvalidError{Object: "workflow/" + name, Reason: "its ID must be 1 to 63 lower-case letters, digits and hyphens"}
@@ -17,39 +17,39 @@
 	return WorkflowID(name), nil
 }
 
-// Workflow is a job of steps that depend on each other, as it was accepted.
+// Workflow is an accepted job of steps that depend on each other.
 type Workflow struct {
 	ID            WorkflowID
-	Queue         string // Name of the queue that accepted it.
+	Queue         string // Queue that accepted it.
 	Service       string // Pool of workers that may run its tasks.
-	Specification string // What the workers run; opaque to the scheduler.
+	Specification string // Input of the workers; opaque to the scheduler.
 	Steps         []Step
 	Priority      int           // Zero is the most urgent.
-	MaxAttempts   int           // Failed runs of a task before the workflow fails.
-	Stretch       float64       // Factor of the longest chain in the latency objective.
-	Allowance     time.Duration // Added to the stretched chain in the latency objective.
-	DataCentre    string        // That runs the workflow.
-	Submitted     time.Time     // By the accepting host's clock.
-	Recurrence    Recurrence    // The zero value runs the steps once, at once.
+	MaxAttempts   int           // Failed runs of a task after which the workflow fails.
+	Stretch       float64       // Factor applied to the longest chain in the latency objective.
+	Allowance     time.Duration // Constant part of the latency objective.
+	DataCentre    string        // Data centre that runs the workflow.
+	Submitted     time.Time     // Time by the accepting host's clock.
+	Recurrence    Recurrence    // The zero value runs the steps once, immediately.
 }
 
-// Recurrence tells how often and when the steps of a workflow run.
+// Recurrence is the schedule on which the steps of a workflow run.
 type Recurrence struct {
-	Times    int           // Zero for once, at once.
-	First    time.Time     // When the first occurrence is due.
-	Interval time.Duration // Between two occurrences, which may overlap.
+	Times    int           // Number of occurrences; zero runs the steps once, immediately.
+	First    time.Time     // Due time of the first occurrence.
+	Interval time.Duration // Time between the due times of two occurrences, which may overlap.
 }
 
 const (
-	// maxSpan from the first to the last occurrence, and lastFirst, the latest that
-	// the first may be due, keep times within what a time.Duration from now holds,
-	// which is 292 years.
-	maxSpan   = 100 * 365 * 24 * time.Hour
-	lastFirst = 2100 // Year.
+	// maxSpan is the longest time from the first to the last occurrence, and
+	// latestFirstYear the last year in which the first one may be due. They keep
+	// all due times within 292 years from now, the range of time.Duration.
+	maxSpan         = 100 * 365 * 24 * time.Hour
+	latestFirstYear = 2100
 )
 
-// NewRecurrence returns a recurrence of times in milliseconds, the first of them
-// Unix, or an *InvalidError for one that no time.Duration holds.
+// NewRecurrence returns a recurrence from a Unix time and an interval in
+// milliseconds, or an *InvalidError if a value is out of range.
 func NewRecurrence(times int, firstMs, intervalMs int64) (Recurrence, error) {
 	if times < 1 || times > MaxTasks || firstMs < 0 || intervalMs < 0 || intervalMs > maxSpan.Milliseconds() {
 		reason := fmt.Sprintf("%d occurrences from %d ms on, every %d ms", times, firstMs, intervalMs)
@@ -60,44 +60,45 @@
 	}, nil
 }
 
+// check returns why the recurrence is invalid, or "".
 func (r Recurrence) check() string {
 	switch {
 	case r.Times == 0:
 		return ""
 	case r.Times < 0 || r.Interval < 0 || r.Interval > maxSpan/time.Duration(r.Times):
 		return fmt.Sprintf("its %d occurrences every %s span more than %s", r.Times, r.Interval, maxSpan)
-	case r.First.UTC().Year() > lastFirst:
-		return fmt.Sprintf("its first occurrence is due after the year %d", lastFirst)
+	case r.First.UTC().Year() > latestFirstYear:
+		return fmt.Sprintf("its first occurrence is due after the year %d", latestFirstYear)
 	}
 	return ""
 }
 
-// Due returns when an occurrence is due, counted from zero.
+// Due returns the due time of an occurrence, counted from zero.
 func (r Recurrence) Due(occurrence int) time.Time {
 	return r.First.Add(time.Duration(occurrence) * r.Interval)
 }
 
-// Step is a group of equal tasks.
+// Step is a group of tasks with equal properties.
 type Step struct {
 	Tasks        int
-	Resources    Resources // Needs of one task.
-	Estimate     time.Duration
-	After        []int  // Steps whose tasks must all be done first.
-	Requirement  string // Label that the worker must carry; empty for none.
-	Rack         string // Where the tasks run fastest; empty for anywhere.
-	Image        string // Tasks of one image behave alike.
-	MaxPerWorker int    // Tasks of the step on one worker; zero for no bound.
-	TailTarget   time.Duration
-	Checkpoints  bool // Tasks save their progress.
-	Speculative  bool // Copies of a task may run at the same time.
-	Lasting      bool // Tasks run until the workflow is cancelled.
-	Fills        bool // Tasks use processors that others reserve and leave idle.
-	Gang         bool // Tasks work only while all of them are present, and end together.
-	OneRack      bool // Tasks work faster when all of them run on one rack.
-	MaxMissing   int  // Tasks of a lasting step that may be stopped at the same time; zero for no bound.
+	Resources    Resources     // Requirements of one task.
+	Estimate     time.Duration // Declared run time of one task.
+	After        []int         // Steps whose tasks must all be done before.
+	Requirement  string        // Label that the worker must have; empty for none.
+	Rack         string        // Rack on which the tasks run fastest; empty for any.
+	Image        string        // Tasks of an image have the same load and interference.
+	MaxPerWorker int           // Maximum number of tasks on one worker; zero for no limit.
+	TailTarget   time.Duration // Target of the tail latency of long-running tasks.
+	Checkpoints  bool          // Tasks write checkpoints.
+	Speculative  bool          // Several runs of a task may run at the same time.
+	Lasting      bool          // Long-running: the tasks run until the workflow is cancelled.
+	Fills        bool          // Best effort: the tasks use processors that others reserved and leave idle.
+	Gang         bool          // Tasks make progress only while all of them run, and end together.
+	OneRack      bool          // Tasks run faster if all of them are on one rack.
+	MaxMissing   int           // Tasks of a long-running step that may be stopped at once; zero for no limit.
 }
 
-// TaskCount returns the number of tasks of all steps in all occurrences.
+// TaskCount returns the number of tasks in all steps and occurrences.
 func (w *Workflow) TaskCount() int {
 	n := 0
 	for _, s := range w.Steps {
@@ -106,28 +107,31 @@
 	return n * w.Occurrences()
 }
 
-// Check returns an *InvalidError for a workflow that can't be run as it stands.
+// Check returns an *InvalidError if the number of tasks or the recurrence is out
+// of range.
 func (w *Workflow) Check() error {
 	if n := w.TaskCount(); n < 1 || n > MaxTasks {
 		return &InvalidError{Object: "workflow/" + string(w.ID), Reason: fmt.Sprintf("it has %d tasks, allowed are 1 to %d", n, MaxTasks)}
 	}
-	if why := w.Recurrence.check(); why != "" {
-		return &InvalidError{Object: "workflow/" + string(w.ID), Reason: why}
+	if problem := w.Recurrence.check(); problem != "" {
+		return &InvalidError{Object: "workflow/" + string(w.ID), Reason: problem}
 	}
 	return nil
 }
 
-// Occurrences returns how often the steps run.
+// Occurrences returns the number of times that the steps run.
 func (w *Workflow) Occurrences() int { return max(1, w.Recurrence.Times) }
 
-// Urgent reports whether the tasks' processors are reserved for them.
-func (w *Workflow) Urgent() bool { return len(w.Steps) > 0 && !w.Steps[0].Fills }
+// ReservesProcessors reports whether processors are reserved for the tasks, as
+// opposed to best effort.
+func (w *Workflow) ReservesProcessors() bool { return len(w.Steps) > 0 && !w.Steps[0].Fills }
 
-// Lasting reports whether the workflow runs until it is cancelled.
+// Lasting reports whether the workflow is long-running: it runs until it is
+// cancelled.
 func (w *Workflow) Lasting() bool { return len(w.Steps) > 0 && w.Steps[0].Lasting }
 
-// Chain returns the declared time of the longest chain of steps from a step on,
-// that step included.
+// Chain returns the declared run time of the longest chain of steps that starts
+// with the given step.
 func (w *Workflow) Chain(step int) time.Duration {
 	longest := time.Duration(0)
 	for i := step + 1; i < len(w.Steps); i++ {
@@ -140,7 +144,7 @@
 	return w.Steps[step].Estimate + longest
 }
 
-// LongestChain returns the declared time of the longest chain of steps.
+// LongestChain returns the declared run time of the longest chain of steps.
 func (w *Workflow) LongestChain() time.Duration {
 	longest := time.Duration(0)
 	for i := range w.Steps {
@@ -151,21 +155,21 @@
 	return longest
 }
 
-// Objective returns the time from submission, or from when an occurrence is due,
-// within which callers are served well.
+// Objective returns the workflow's latency objective, counted from submission or
+// from the due time of an occurrence.
 func (w *Workflow) Objective() time.Duration {
 	return time.Duration(w.Stretch*float64(w.LongestChain())) + w.Allowance
 }
 
-// Phase is how far a workflow has come.
+// Phase is the state of a workflow.
 type Phase uint8
 
 // The phases of a workflow.
 const (
-	PhaseQueued    Phase = 0 // No task has started.
+	PhaseQueued    Phase = 0 // No task was started.
 	PhaseRunning   Phase = 1
 	PhaseCompleted Phase = 2 // All tasks are done.
-	PhaseFailed    Phase = 3 // A task has failed too often.
+	PhaseFailed    Phase = 3 // A task failed too often.
 	PhaseCancelled Phase = 4
 )
 
@@ -189,17 +193,17 @@
 	return "unknown"
 }
 
-// Queue takes workflows of one kind.
+// Queue accepts workflows and gives them their priority and objective.
 type Queue struct {
 	Name        string
-	Host        string // Of callers' requests.
-	Prefix      string // Of the paths of callers' requests.
-	Service     string // Pool of workers that runs the tasks.
+	Host        string // Host name in callers' requests.
+	Prefix      string // Path prefix of callers' requests.
+	Service     string // Pool of workers that run the tasks.
 	Priority    int    // Zero is the most urgent.
 	MaxAttempts int
 	Stretch     float64
 	Allowance   time.Duration
-	Advised     bool // Only an outside service tells which workers may run a step.
+	Advised     bool // An external service selects the workers that may run a step.
 }
 
 // Directory is the operators' configuration of queues.
@@ -208,7 +212,7 @@
 	Queues  []Queue
 }
 
-// TaskRef names a task of a workflow.
+// TaskRef identifies a task of a workflow.
 type TaskRef struct {
 	Workflow   WorkflowID
 	Occurrence int
@@ -216,23 +220,23 @@
 	Index      int
 }
 
-// RunRef names one start of a task. Runs count from one.
+// RunRef identifies one start of a task. Runs are numbered from one.
 type RunRef struct {
 	Task TaskRef
 	Run  uint32
 }
 
-// RunEnd tells how a run ended.
+// RunEnd is the way in which a run ended.
 type RunEnd uint8
 
-// How a run ended.
+// The ways in which a run ends.
 const (
 	RunDone    RunEnd = 1
-	RunFailed  RunEnd = 2 // By its own fault or the worker's.
+	RunFailed  RunEnd = 2 // The run or its worker failed.
 	RunStopped RunEnd = 3
-	RunLapsed  RunEnd = 4 // The worker's lease ended.
-	RunBroken  RunEnd = 5 // Another member of its gang ended, or any other cause.
-	RunAlone   RunEnd = 6 // It waited too long for the other members of its gang.
+	RunLapsed  RunEnd = 4 // The worker's lease expired.
+	RunBroken  RunEnd = 5 // Another member of its gang ended, or another cause.
+	RunAlone   RunEnd = 6 // The run waited too long for the other members of its gang.
 )
 
 // String returns the end in kebab case.
@@ -244,7 +248,7 @@
 	return "unknown"
 }
 
-// WorkerEntry is a worker's registration in the platform's list.
+// WorkerEntry is a worker's entry in the platform's list.
 type WorkerEntry struct {
 	ID         string
 	Service    string
@@ -254,38 +258,38 @@
 	Labels     []string
 	Capacity   Resources
 	Draining   bool
-	Remaining  time.Duration // Least time before a draining worker leaves.
-	Born       int64         // Start of this life, Unix milliseconds.
-	Clock      time.Duration // The worker's steady clock when it wrote the entry.
+	Remaining  time.Duration // Shortest time until a draining worker leaves.
+	Born       int64         // Start time of the worker's process in Unix milliseconds.
+	Clock      time.Duration // Worker's monotonic clock when it wrote the entry.
 }
 
-// RunningTask is a run that is alive on a worker.
+// RunningTask is a live run on a worker.
 type RunningTask struct {
 	Run        RunRef
 	Checkpoint string
-	Percent    int     // Of full speed at which the task is at work.
-	Usage      float64 // Tail in ms of a lasting task, cores in use of others.
+	Percent    int     // Current speed of the run in percent of full speed.
+	Usage      float64 // Tail latency in ms of a long-running task; cores in use of others.
 }
 
 // EndedTask is a run that has ended on a worker.
 type EndedTask struct {
-	Number     uint64 // Counts from one in each life of the worker.
+	Number     uint64 // Counts from one after each start of the worker.
 	Run        RunRef
 	End        RunEnd
 	Checkpoint string
 }
 
-// HoldRequest renews a worker's lease and asks what runs there.
+// HoldRequest renews a worker's lease and asks for its runs.
 type HoldRequest struct {
-	Token      uint64 // Orders with lower ones are refused from now on.
-	Until      time.Duration
-	EndsBefore uint64        // Ends up to this number may be forgotten.
-	Wait       time.Duration // For an end.
+	Token      uint64        // The worker refuses orders with lower tokens from now on.
+	Until      time.Duration // End of the lease by the worker's clock.
+	EndsBefore uint64        // The worker can drop ends up to and including this number.
+	Wait       time.Duration // Longest time to wait for a new end.
 }
 
-// HoldReply tells what runs on a worker.
+// HoldReply lists a worker's runs.
 type HoldReply struct {
-	Born    int64 // Start of the worker's life, Unix milliseconds.
+	Born    int64 // Start time of the worker's process in Unix milliseconds.
 	Clock   time.Duration
 	Running []RunningTask
 	Ended   []EndedTask
@@ -295,18 +299,18 @@
 type StartOrder struct {
 	Run           RunRef
 	Specification string
-	Until         time.Duration // By the worker's clock; later the order is void.
+	Until         time.Duration // Deadline by the worker's clock; afterwards the order is refused.
 	Token         uint64
 	Checkpoint    string
 }
 
-// StopOrder ends a run, or keeps it from ever starting.
+// StopOrder stops a run or prevents it from starting.
 type StopOrder struct {
 	Run   RunRef
 	Token uint64
 }
 
-// PaceOrder sets the share of full speed at which a run works.
+// PaceOrder sets the speed of a run in percent of full speed.
 type PaceOrder struct {
 	Run     RunRef
 	Percent int
--- a/workflow_test.go
+++ b/workflow_test.go
@@ -18,12 +18,12 @@
 		valid bool
 	}{
 		{"none", briarspring.Recurrence{}, true},
-		{"every night for years", briarspring.Recurrence{Times: 3000, First: soon, Interval: 24 * time.Hour}, true},
+		{"daily for years", briarspring.Recurrence{Times: 3000, First: soon, Interval: 24 * time.Hour}, true},
 		{"long ago", briarspring.Recurrence{Times: 2, First: time.Unix(0, 0), Interval: time.Second}, true},
 		{"longer than a century", briarspring.Recurrence{Times: 60000, First: soon, Interval: 24 * time.Hour}, false},
-		{"longer than times can tell", briarspring.Recurrence{Times: 1, First: soon, Interval: math.MaxInt64}, false},
-		{"backwards", briarspring.Recurrence{Times: 2, First: soon, Interval: -time.Second}, false},
-		{"in another age", briarspring.Recurrence{Times: 1, First: time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)}, false},
+		{"interval out of range", briarspring.Recurrence{Times: 1, First: soon, Interval: math.MaxInt64}, false},
+		{"negative interval", briarspring.Recurrence{Times: 2, First: soon, Interval: -time.Second}, false},
+		{"too far in the future", briarspring.Recurrence{Times: 1, First: time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)}, false},
 		{"more tasks than allowed", briarspring.Recurrence{Times: briarspring.MaxTasks + 1, First: soon}, false},
 	}
 	for _, tt := range tests {
