--- a/loader/loader.go
+++ b/loader/loader.go
@@ -1,5 +1,5 @@
-// Package loader reads a process's settings from an INI file and checks every
-// key, telling all faults at once.
+// Package loader reads a process's settings from an INI file. It validates every
+// key and reports all faults at once.
 package loader
 
 import (
@@ -11,8 +11,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Settings are the checked settings of an entry host. Each process uses its
-// sections.
+// Settings holds the validated settings of an entry host. Each process uses the
+// sections that apply to it.
 type Settings struct {
 	Process   Process
 	Log       Log
@@ -86,13 +86,13 @@
 	Elsewhere      []DataCentreAddress
 }
 
-// DataCentreAddress is an address in another data centre.
+// DataCentreAddress is the address of a gateway in another data centre.
 type DataCentreAddress struct {
 	DataCentre string
 	Address    string
 }
 
-// Fault is one thing that is wrong in a settings file.
+// Fault is an error in a settings file.
 type Fault struct {
 	Section  string
 	Key      string
@@ -111,13 +111,13 @@
 	return fmt.Sprintf("[%s] %s = %s: %s", f.Section, f.Key, f.Value, f.Expected)
 }
 
-// FaultsError tells everything that is wrong in a settings file.
+// FaultsError reports all faults of a settings file.
 type FaultsError struct {
 	File   string
 	Faults []Fault
 }
 
-// Error implements error; each fault is a line.
+// Error implements error. It formats each fault on its own line.
 func (e *FaultsError) Error() string {
 	lines := make([]string, 0, len(e.Faults))
 	for _, f := range e.Faults {
@@ -126,7 +126,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks a file. Errors are *FaultsError.
+// Load reads and validates a file. Errors are *FaultsError.
 func Load(path string) (Settings, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{}, path)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return check(path, file)
 }
 
-// Parse checks settings that are held in memory.
+// Parse reads and validates settings from memory. Errors are *FaultsError.
 func Parse(name string, data []byte) (Settings, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{}, data)
 	if err != nil {
@@ -152,17 +152,18 @@
 			faults = append(faults, fault)
 		}
 	}
-	faults = append(faults, s.contradictions()...)
+	faults = append(faults, s.conflicts()...)
 	if len(faults) > 0 {
 		return Settings{}, &FaultsError{File: name, Faults: faults}
 	}
 	return s, nil
 }
 
+// unknownKeys returns faults for sections and keys that do not exist.
 func unknownKeys(file *ini.File) []Fault {
 	var faults []Fault
 	for _, section := range file.Sections() {
-		known := keysOf(section.Name())
+		known := sectionKeys(section.Name())
 		if len(known) == 0 && (section.Name() != ini.DefaultSection || len(section.Keys()) > 0) {
 			faults = append(faults, Fault{
 				Section: section.Name(), Expected: "unknown section, known are " + strings.Join(sectionNames(), ", "),
@@ -181,8 +182,8 @@
 	return faults
 }
 
-// contradictions tells which settings don't go together.
-func (s *Settings) contradictions() []Fault {
+// conflicts returns faults for settings that contradict each other.
+func (s *Settings) conflicts() []Fault {
 	var faults []Fault
 	if s.Gateway.Seats > 0 && s.Gateway.Seat >= s.Gateway.Seats {
 		faults = append(faults, Fault{
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -26,7 +26,7 @@
 func TestReferenceIsUpToDate(t *testing.T) {
 	page, err := os.ReadFile("../docs/settings.md")
 	require.NoError(t, err)
-	assert.Equal(t, loader.Reference(), string(page), "make it again: briarspring check-settings --reference > docs/settings.md")
+	assert.Equal(t, loader.Reference(), string(page), "regenerate it: briarspring check-settings --reference > docs/settings.md")
 }
 
 func TestFaults(t *testing.T) {
@@ -38,7 +38,7 @@
 		{"unknown key", "[gateway]\n", "[gateway]\ncolour = red\n", "[gateway] colour = red: unknown key"},
 		{"unknown section", "[gateway]\n", "[kitchen]\nx = 1\n[gateway]\n", "[kitchen]: unknown section"},
 		{"missing key", "data-centre = tartu\n", "", "[process] data-centre: is missing"},
-		{"name instead of an IP number", "log-address = 127.0.0.1:", "log-address = localhost:", "expected an IP number and port"},
+		{"host name instead of an IP address", "log-address = 127.0.0.1:", "log-address = localhost:", "expected an IP address and port"},
 		{"seat out of range", "seat = 0", "seat = 7", "[gateway] seat = 7: a number below seats"},
 		{"bad duration", "[gateway]\n", "[gateway]\ndefault-timeout = soon\n", "expected a duration above zero"},
 		{"contradiction", "[gateway]\n", "[gateway]\ndefault-timeout = 2m\n", "at most max-timeout"},
@@ -63,8 +63,7 @@
 	})
 }
 
-// FuzzParse checks that no settings file makes the check fail otherwise than
-// by its error.
+// FuzzParse checks that Parse does not panic on any settings file.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[process]\nname = a\n"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
