--- a/declarer/declarer.go
+++ b/declarer/declarer.go
@@ -14,21 +14,21 @@
 	"briarspring"
 )
 
-// Kinds of objects.
+// The kinds of objects.
 const (
 	KindService = "service"
 	KindJob     = "job"
 	KindQuota   = "quota"
 )
 
-// Object is one declared object; exactly one field is not nil.
+// Object is a declared object; exactly one field is not nil.
 type Object struct {
 	Service *briarspring.Service
 	Job     *briarspring.Job
 	Quota   *briarspring.Quota
 }
 
-// ObjectError tells what is wrong in a file of objects.
+// ObjectError reports an error in a file of objects.
 type ObjectError struct {
 	File    string
 	Section string
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, &ObjectError{File: path, Reason: err.Error()}
 	}
-	return objects(path, file)
+	return parseObjects(path, file)
 }
 
 // Parse reads objects from memory. Errors are *ObjectError.
@@ -58,16 +58,17 @@
 	if err != nil {
 		return nil, &ObjectError{File: name, Reason: err.Error()}
 	}
-	return objects(name, file)
+	return parseObjects(name, file)
 }
 
-func objects(path string, file *ini.File) ([]Object, error) {
+// parseObjects returns the objects that the sections of a file declare.
+func parseObjects(path string, file *ini.File) ([]Object, error) {
 	var out []Object
 	for _, section := range file.Sections() {
 		if section.Name() == ini.DefaultSection && len(section.Keys()) == 0 {
 			continue
 		}
-		o, err := object(section)
+		o, err := parseObject(section)
 		if err != nil {
 			return nil, &ObjectError{File: path, Section: section.Name(), Reason: err.Error()}
 		}
@@ -76,7 +77,8 @@
 	return out, nil
 }
 
-func object(section *ini.Section) (Object, error) {
+// parseObject returns the object that a section declares.
+func parseObject(section *ini.Section) (Object, error) {
 	kind, name, found := strings.Cut(section.Name(), " ")
 	if !found {
 		return Object{}, fmt.Errorf("expected a section such as [service ledger], [job index] or [quota team]")
@@ -103,13 +105,14 @@
 	return o, r.unknownKey()
 }
 
-// reader takes keys from a section and remembers the first fault.
+// reader reads the keys of a section and records the first fault.
 type reader struct {
 	section *ini.Section
-	known   []string
+	known   []string // Keys that were read, whether present or not.
 	fault   error
 }
 
+// text returns the value of a key, or fallback if the key is missing.
 func (r *reader) text(name, fallback string) string {
 	r.known = append(r.known, name)
 	if !r.section.HasKey(name) {
@@ -118,6 +121,7 @@
 	return strings.TrimSpace(r.section.Key(name).Value())
 }
 
+// fail records that a value is invalid, unless there is an earlier fault.
 func (r *reader) fail(name, value, expected string) {
 	if r.fault == nil {
 		r.fault = fmt.Errorf("%s = %s: expected %s", name, value, expected)
@@ -161,6 +165,8 @@
 
 const mibPerGiB = 1024
 
+// parseMemory returns an amount of memory in mebibytes. Without a unit, the
+// number is in mebibytes.
 func parseMemory(v string) (int64, error) {
 	if number, ok := strings.CutSuffix(v, "GiB"); ok {
 		n, err := strconv.ParseInt(number, 10, 32)
@@ -195,6 +201,7 @@
 	return Object{Quota: &q}, err
 }
 
+// unknownKey returns an error if the section has a key that was never read.
 func (r *reader) unknownKey() error {
 	for _, key := range r.section.Keys() {
 		if !slices.Contains(r.known, key.Name()) {
--- a/declarer/declarer_test.go
+++ b/declarer/declarer_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// FuzzParse checks that no file of objects makes the reader fail otherwise than
-// by its error, and that what it takes can be written again.
+// FuzzParse checks that Parse does not panic on any file, and that Format does
+// not panic on any object that Parse accepts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[service s]\nteam = t\ncpu = 0.5\nmemory = 1GiB\n\n[quota t]\ncpu = 3\n"))
 	f.Add([]byte("[job j]\nteam = t\ncpu = 1\nmemory = 512MiB\nrun-time = 90s\n"))
--- a/declarer/format.go
+++ b/declarer/format.go
@@ -7,7 +7,7 @@
 	"briarspring"
 )
 
-// Format returns an object in the form that Parse reads.
+// Format returns an object in the INI format that Parse reads.
 func Format(o Object) string {
 	var b strings.Builder
 	switch {
--- a/declarer/workflow.go
+++ b/declarer/workflow.go
@@ -11,21 +11,21 @@
 	"briarspring"
 )
 
-// Sections of a file that declares a workflow.
+// Kinds of sections in a file that declares a workflow.
 const (
 	sectionWorkflow = "workflow"
 	sectionStep     = "step"
 )
 
 // LoadWorkflow reads a file that declares one workflow: a section such as
-// [workflow receipt-1], and a section for each of its steps from [step 0] on.
-// Errors are *ObjectError.
+// [workflow receipt-1] followed by a section for each step, starting with
+// [step 0]. Errors are *ObjectError.
 func LoadWorkflow(path string) (briarspring.Workflow, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{}, path)
 	if err != nil {
 		return briarspring.Workflow{}, &ObjectError{File: path, Reason: err.Error()}
 	}
-	return workflow(path, file)
+	return parseWorkflow(path, file)
 }
 
 // ParseWorkflow reads a workflow from memory. Errors are *ObjectError.
@@ -34,10 +34,11 @@
 	if err != nil {
 		return briarspring.Workflow{}, &ObjectError{File: name, Reason: err.Error()}
 	}
-	return workflow(name, file)
+	return parseWorkflow(name, file)
 }
 
-func workflow(path string, file *ini.File) (briarspring.Workflow, error) {
+// parseWorkflow returns the workflow that a file declares.
+func parseWorkflow(path string, file *ini.File) (briarspring.Workflow, error) {
 	var w briarspring.Workflow
 	for _, section := range file.Sections() {
 		if section.Name() == ini.DefaultSection && len(section.Keys()) == 0 {
@@ -56,7 +57,7 @@
 	return w, nil
 }
 
-// addSection adds what a section declares.
+// addSection adds the workflow header or the step that a section declares to w.
 func addSection(w *briarspring.Workflow, section *ini.Section) error {
 	kind, name, _ := strings.Cut(section.Name(), " ")
 	r := &reader{section: section}
@@ -84,7 +85,7 @@
 func (r *reader) step(number int) briarspring.Step {
 	return briarspring.Step{
 		Tasks: int(r.count("tasks", "1")), Resources: r.resources(""), Estimate: r.optionalDuration("estimate"),
-		After: r.earlier("after", number), Requirement: r.text("requirement", ""), Rack: r.text("rack", ""),
+		After: r.earlierSteps("after", number), Requirement: r.text("requirement", ""), Rack: r.text("rack", ""),
 		Image: r.text("image", ""), MaxPerWorker: int(r.count("max-per-worker", "0")),
 		TailTarget: r.optionalDuration("tail-target"), Checkpoints: r.flag("checkpoints"),
 		Speculative: r.flag("speculative"), Lasting: r.flag("lasting"), Fills: r.flag("fills"),
@@ -92,8 +93,8 @@
 	}
 }
 
-// recurrence returns how often and when the steps run; the zero value when the
-// section has none of the three keys.
+// recurrence returns the schedule on which the steps run, or the zero value if
+// the section has none of the three keys.
 func (r *reader) recurrence() briarspring.Recurrence {
 	c := briarspring.Recurrence{Times: int(r.count("times", "0")), Interval: r.optionalDuration("every")}
 	first := r.text("first-due", "")
@@ -111,6 +112,7 @@
 	return c
 }
 
+// required returns the value of a key and records a fault if there is none.
 func (r *reader) required(name string) string {
 	v := r.text(name, "")
 	if v == "" {
@@ -119,6 +121,7 @@
 	return v
 }
 
+// optionalDuration returns the duration of a key, or zero if the key is missing.
 func (r *reader) optionalDuration(name string) time.Duration {
 	if !r.section.HasKey(name) {
 		r.known = append(r.known, name)
@@ -136,8 +139,9 @@
 	return set
 }
 
-// earlier returns numbers of steps before the given one.
-func (r *reader) earlier(name string, step int) []int {
+// earlierSteps returns a list of step numbers, all of which must be lower than
+// step.
+func (r *reader) earlierSteps(name string, step int) []int {
 	v := r.text(name, "")
 	if v == "" {
 		return nil
--- a/declarer/workflow_test.go
+++ b/declarer/workflow_test.go
@@ -58,7 +58,7 @@
 }
 
 func TestWorkflowFile(t *testing.T) {
-	t.Run("is read", func(t *testing.T) {
+	t.Run("steps", func(t *testing.T) {
 		w, err := declarer.ParseWorkflow("bundle.ini", []byte(bundle))
 		require.NoError(t, err)
 		assert.Equal(t, briarspring.WorkflowID("bundle-7"), w.ID)
@@ -70,7 +70,7 @@
 		assert.True(t, w.Steps[1].Fills && w.Steps[1].Checkpoints && !w.Steps[1].Lasting)
 		assert.Equal(t, 1, w.Steps[1].Tasks)
 	})
-	t.Run("tells occurrences and gangs", func(t *testing.T) {
+	t.Run("recurrence and gang", func(t *testing.T) {
 		w, err := declarer.ParseWorkflow("nightly.ini", []byte(nightly))
 		require.NoError(t, err)
 		assert.Equal(t, briarspring.Recurrence{
@@ -105,8 +105,8 @@
 	}
 }
 
-// FuzzParseWorkflow checks that no file makes the reader fail otherwise than by
-// its error.
+// FuzzParseWorkflow checks that ParseWorkflow does not panic on any file and
+// returns only *ObjectError.
 func FuzzParseWorkflow(f *testing.F) {
 	f.Add([]byte(bundle))
 	f.Fuzz(func(t *testing.T, data []byte) {
