--- a/schema/generate.sh
+++ b/schema/generate.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Makes the committed code under gen/ again. Needs Debian's protobuf-compiler;
-# the two plugins are tools pinned in go.mod.
+# Regenerates the committed code under gen/. Requires Debian's
+# protobuf-compiler; the two plugins are tools pinned in go.mod.
 set -eu
 cd "$(dirname "$0")/.."
 out=${1:-.}
