--- a/scheduler/agent.go
+++ b/scheduler/agent.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// lapseMargin covers the rounding of clock readings to milliseconds.
-	lapseMargin = 50 * time.Millisecond
-	// exchangePause keeps pokes from causing an exchange each.
-	exchangePause = 10 * time.Millisecond
+	// leaseMargin covers the rounding of clock readings to milliseconds.
+	leaseMargin = 50 * time.Millisecond
+	// minExchangeGap combines wake-ups that come close together into one exchange.
+	minExchangeGap = 10 * time.Millisecond
 )
 
-// agent is the owner's dealings with one worker under one epoch.
+// agent holds the owner's exchange state for one worker under one epoch.
 type agent struct {
 	host   briarspring.Host
 	epoch  uint64
-	poke   chan struct{}
+	wakeup chan struct{}
 	cancel context.CancelFunc
 
-	report    briarspring.WorkerReport
-	received  time.Time // Of the last report; zero while the worker is not fenced.
-	reported  map[briarspring.AttemptID]briarspring.TaskReport
-	leaseSent time.Duration // Highest lease that the worker may hold, by its clock.
-	notAfter  map[briarspring.AttemptID]time.Duration
-	throttles map[briarspring.AttemptID]uint32    // In force, as far as they were sent.
-	leaving   map[briarspring.AttemptID]time.Time // Since when gateways are told that an executor leaves.
-	dirty     bool                                // The last report was not looked at yet.
-	failures  int
-	lossSince time.Time // When the operators' declaration was first seen.
+	report        briarspring.WorkerReport
+	receivedAt    time.Time // When the last report arrived; zero until the worker is fenced.
+	reported      map[briarspring.AttemptID]briarspring.TaskReport
+	maxLeaseUntil time.Duration // Latest lease end that the worker may hold, by its clock.
+	notAfter      map[briarspring.AttemptID]time.Duration
+	sentThrottles map[briarspring.AttemptID]uint32    // Throttles last sent to the worker.
+	leavingSince  map[briarspring.AttemptID]time.Time // Since when the feed shows an executor as leaving.
+	unprocessed   bool                                // The last report was not yet turned into events.
+	failures      int
+	lossSeenAt    time.Time // When the operators' declaration of loss was first seen.
 }
 
-// runAgents keeps one agent for each worker on the list of hosts.
-func (s *Scheduler) runAgents(ctx context.Context, duties *sync.WaitGroup) {
+// startAgents starts the agents that are not running yet, one for each worker.
+func (s *Scheduler) startAgents(ctx context.Context, wg *sync.WaitGroup) {
 	for _, a := range s.agents {
 		if a.cancel != nil {
 			continue
 		}
 		agentCtx, cancel := context.WithCancel(ctx)
 		a.cancel = cancel
-		a.epoch = s.place.Epoch()
-		duties.Go(func() { s.runAgent(agentCtx, a) })
+		a.epoch = s.placement.Epoch()
+		wg.Go(func() { s.runAgent(agentCtx, a) })
 	}
 }
 
-// stopAgents ends the dealings of an old epoch; the hosts stay known.
+// stopAgents stops all agents and resets their state, but keeps their hosts.
 func (s *Scheduler) stopAgents() {
 	for name, a := range s.agents {
 		if a.cancel != nil {
@@ -61,24 +61,24 @@
 
 func newAgent(host briarspring.Host) *agent {
 	return &agent{
-		host:      host,
-		poke:      make(chan struct{}, 1),
-		reported:  map[briarspring.AttemptID]briarspring.TaskReport{},
-		notAfter:  map[briarspring.AttemptID]time.Duration{},
-		throttles: map[briarspring.AttemptID]uint32{},
-		leaving:   map[briarspring.AttemptID]time.Time{},
+		host:          host,
+		wakeup:        make(chan struct{}, 1),
+		reported:      map[briarspring.AttemptID]briarspring.TaskReport{},
+		notAfter:      map[briarspring.AttemptID]time.Duration{},
+		sentThrottles: map[briarspring.AttemptID]uint32{},
+		leavingSince:  map[briarspring.AttemptID]time.Time{},
 	}
 }
 
 func (a *agent) wake() {
 	select {
-	case a.poke <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (s *Scheduler) pokeWorker(number uint32) {
-	w := s.place.Worker(number)
+func (s *Scheduler) wakeWorker(number uint32) {
+	w := s.placement.Worker(number)
 	if w == nil {
 		return
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (s *Scheduler) pokeAll() {
+func (s *Scheduler) wakeAllAgents() {
 	for _, a := range s.agents {
 		a.wake()
 	}
@@ -97,41 +97,41 @@
 func (s *Scheduler) runAgent(ctx context.Context, a *agent) {
 	for ctx.Err() == nil {
 		if s.exchange(ctx, a) {
-			_ = sleeper.For(ctx, exchangePause)
+			_ = sleeper.For(ctx, minExchangeGap)
 			continue
 		}
 		t := time.NewTimer(s.config.ExchangeInterval / 2)
 		select {
 		case <-ctx.Done():
-		case <-a.poke:
+		case <-a.wakeup:
 		case <-t.C:
 		}
 		t.Stop()
 	}
 }
 
-// exchange sends the worker what the state asks for and keeps its report. It
-// reports false when the worker did not answer.
+// exchange sends the worker its commands and applies its report. It returns
+// false if the worker did not answer or the agent's epoch has ended.
 func (s *Scheduler) exchange(ctx context.Context, a *agent) bool {
 	s.mu.Lock()
-	if a.epoch != s.place.Epoch() || !s.owns() {
+	if a.epoch != s.placement.Epoch() || !s.owns() {
 		s.mu.Unlock()
 		return false
 	}
-	e := s.commands(a)
+	e := s.buildExchange(a)
 	address := a.host.Address
 	s.counters.Exchanges++
 	s.mu.Unlock()
 
-	report, poked, err := s.call(ctx, a, address, e)
+	report, woken, err := s.call(ctx, a, address, e)
 	received := time.Now()
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a.epoch != s.place.Epoch() || ctx.Err() != nil {
+	if a.epoch != s.placement.Epoch() || ctx.Err() != nil {
 		return false
 	}
-	if err != nil && poked {
+	if err != nil && woken {
 		return true
 	}
 	if err != nil {
@@ -142,13 +142,13 @@
 		}
 		return false
 	}
-	s.takeReport(a, e, report, received)
+	s.applyReport(a, e, report, received)
 	return true
 }
 
-// call makes one exchange. While it only waits for news of the worker, a poke
-// ends it, so that commands reach the worker at once.
-func (s *Scheduler) call(ctx context.Context, a *agent, address string, e briarspring.Exchange) (report briarspring.WorkerReport, poked bool, err error) {
+// call makes one exchange. A wake-up cancels an exchange that waits for changes
+// on the worker, so that new commands are sent at once.
+func (s *Scheduler) call(ctx context.Context, a *agent, address string, e briarspring.Exchange) (report briarspring.WorkerReport, woken bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, s.config.ExchangeTimeout+e.Wait)
 	defer cancel()
 	if e.Wait == 0 {
@@ -160,8 +160,8 @@
 	go func() {
 		defer close(watched)
 		select {
-		case <-a.poke:
-			poked = true
+		case <-a.wakeup:
+			woken = true
 			cancel()
 		case <-ended:
 		}
@@ -169,12 +169,12 @@
 	report, err = s.config.Workers.Exchange(ctx, address, e)
 	close(ended)
 	<-watched
-	return report, poked, err
+	return report, woken, err
 }
 
-// takeReport keeps a report, which lists all tasks or those that changed after
-// the last one that arrived.
-func (s *Scheduler) takeReport(a *agent, sent briarspring.Exchange, report briarspring.WorkerReport, received time.Time) {
+// applyReport stores a report, which lists all tasks or only those that changed
+// since the last report received.
+func (s *Scheduler) applyReport(a *agent, sent briarspring.Exchange, report briarspring.WorkerReport, received time.Time) {
 	if report.Epoch > a.epoch {
 		s.logger.Warn("worker obeys a newer owner", "worker", a.host.Name, "epoch", report.Epoch, "own-epoch", a.epoch)
 		s.ownership.superseded = true
@@ -184,16 +184,16 @@
 		s.logger.Info("worker answers again", "worker", a.host.Name, "failures", a.failures)
 	}
 	if a.report.Incarnation != report.Incarnation {
-		a.leaseSent = 0
+		a.maxLeaseUntil = 0
 		clear(a.notAfter)
-		clear(a.throttles)
-		clear(a.leaving)
+		clear(a.sentThrottles)
+		clear(a.leavingSince)
 	}
 	a.failures = 0
 	a.report = report
-	a.received = received
-	a.leaseSent = max(a.leaseSent, report.LeaseUntil)
-	a.dirty = true
+	a.receivedAt = received
+	a.maxLeaseUntil = max(a.maxLeaseUntil, report.LeaseUntil)
+	a.unprocessed = true
 	if report.Whole {
 		clear(a.reported)
 	}
@@ -203,25 +203,25 @@
 	for _, t := range report.Tasks {
 		a.reported[t.Attempt] = t
 	}
-	s.learn(a, report.Usage)
+	s.learnFromUsage(a, report.Usage)
 	s.Wake()
 }
 
-// commands returns what the state asks of a worker now.
-func (s *Scheduler) commands(a *agent) briarspring.Exchange {
+// buildExchange returns the lease and the commands to send to a worker now.
+func (s *Scheduler) buildExchange(a *agent) briarspring.Exchange {
 	e := briarspring.Exchange{Worker: a.host.Name, Epoch: a.epoch}
-	w := s.place.WorkerByName(a.host.Name)
-	if a.received.IsZero() || w == nil || w.Incarnation() != a.report.Incarnation || w.Gone() {
+	w := s.placement.WorkerByName(a.host.Name)
+	if a.receivedAt.IsZero() || w == nil || w.Incarnation() != a.report.Incarnation || w.Gone() {
 		return e
 	}
 	e.Incarnation = a.report.Incarnation
-	e.LeaseUntil = a.report.Clock + s.lease()
-	a.leaseSent = max(a.leaseSent, e.LeaseUntil)
+	e.LeaseUntil = a.report.Clock + s.leaseDuration()
+	a.maxLeaseUntil = max(a.maxLeaseUntil, e.LeaseUntil)
 	for attempt, r := range a.reported {
-		if s.place.Open(attempt) != nil {
+		if s.placement.Open(attempt) != nil {
 			continue
 		}
-		delete(a.leaving, attempt)
+		delete(a.leavingSince, attempt)
 		if r.Phase.Ended() {
 			e.Forget = append(e.Forget, attempt)
 		} else {
@@ -229,7 +229,7 @@
 		}
 	}
 	for _, id := range w.Tasks() {
-		s.commandTask(a, &e, id)
+		s.addTaskCommands(a, &e, id)
 	}
 	e.Seen = a.report.Version
 	if a.failures == 0 && len(e.Starts)+len(e.Stops)+len(e.Throttles) == 0 {
@@ -238,78 +238,80 @@
 	return e
 }
 
-// outageAfter without a read of the log lengthens leases. Nothing can be
-// started anew until the log is back, so nobody needs them to end soon, and
-// tasks outlive a scheduler that dies meanwhile.
-const outageAfter = 5 * time.Second
+// outageThreshold is the time without a read of the log after which leases are
+// extended to OutageLease. Nothing can be restarted elsewhere until the log is
+// back, so short leases have no use then, and tasks survive a scheduler that
+// dies meanwhile.
+const outageThreshold = 5 * time.Second
 
-func (s *Scheduler) lease() time.Duration {
-	if time.Since(s.placeRead) > outageAfter {
+func (s *Scheduler) leaseDuration() time.Duration {
+	if time.Since(s.placementReadAt) > outageThreshold {
 		return s.config.OutageLease
 	}
 	return s.config.Lease
 }
 
-// commandTask adds what one open attempt needs.
-func (s *Scheduler) commandTask(a *agent, e *briarspring.Exchange, id briarspring.TaskID) {
-	t := s.place.Task(id)
+// addTaskCommands adds the commands for one open attempt.
+func (s *Scheduler) addTaskCommands(a *agent, e *briarspring.Exchange, id briarspring.TaskID) {
+	t := s.placement.Task(id)
 	attempt := briarspring.AttemptID{Task: id, Attempt: t.Attempt()}
 	r, known := a.reported[attempt]
 	stop := t.Evicting() || t.Cancelled()
 	switch {
 	case known && stop && r.Phase == briarspring.TaskRunning:
-		if !s.lingers(a, attempt) {
+		if !s.draining(a, attempt) {
 			e.Stops = append(e.Stops, attempt)
 		}
 	case known && r.Phase == briarspring.TaskRunning:
-		if percent := s.guard.percent(attempt); percent != a.throttled(attempt) {
-			a.throttles[attempt] = percent
+		if percent := s.interference.throttlePercent(attempt); percent != a.sentThrottle(attempt) {
+			a.sentThrottles[attempt] = percent
 			e.Throttles = append(e.Throttles, briarspring.Throttle{Attempt: attempt, Percent: percent})
 		}
 	case !known && !stop:
-		if start, ok := s.startTask(a, t, attempt); ok {
+		if start, ok := s.startCommand(a, t, attempt); ok {
 			a.notAfter[attempt] = max(a.notAfter[attempt], start.NotAfter)
 			e.Starts = append(e.Starts, start)
 		}
 	}
 }
 
-// lingerTime is how long an executor that is to be stopped serves on, so that
-// every gateway knows that it leaves. Gateways follow the feed within tens of
-// milliseconds; one that lost its scheduler finds another within this time.
-const lingerTime = 1200 * time.Millisecond
+// executorDrainTime is how long an executor keeps serving before it is stopped,
+// so that every gateway learns that it is leaving. Gateways see a change of the
+// feed within tens of milliseconds; one that lost its scheduler finds another
+// within this time.
+const executorDrainTime = 1200 * time.Millisecond
 
-// lingers reports whether an executor that is to be stopped has to serve on.
-func (s *Scheduler) lingers(a *agent, attempt briarspring.AttemptID) bool {
-	if l := s.place.Load(attempt.Task.Workload); l == nil || !l.Service() {
+// draining reports whether an executor to be stopped must keep serving for now.
+func (s *Scheduler) draining(a *agent, attempt briarspring.AttemptID) bool {
+	if l := s.placement.Load(attempt.Task.Workload); l == nil || !l.Service() {
 		return false
 	}
 	now := time.Now()
-	since, known := a.leaving[attempt]
+	since, known := a.leavingSince[attempt]
 	if !known {
-		a.leaving[attempt] = now
-		time.AfterFunc(lingerTime, a.wake)
+		a.leavingSince[attempt] = now
+		time.AfterFunc(executorDrainTime, a.wake)
 		return true
 	}
-	return now.Sub(since) < lingerTime
+	return now.Sub(since) < executorDrainTime
 }
 
-const fullSpeed = 100
+const unthrottledPercent = 100
 
-func (a *agent) throttled(attempt briarspring.AttemptID) uint32 {
-	if percent, ok := a.throttles[attempt]; ok {
+func (a *agent) sentThrottle(attempt briarspring.AttemptID) uint32 {
+	if percent, ok := a.sentThrottles[attempt]; ok {
 		return percent
 	}
-	return fullSpeed
+	return unthrottledPercent
 }
 
-// startTask returns the command that starts an attempt, if one may start now:
-// the configuration was read recently, and the bound that follows from that
-// read lies in the worker's future.
-func (s *Scheduler) startTask(a *agent, t *applier.Task, attempt briarspring.AttemptID) (briarspring.StartTask, bool) {
-	notAfter := a.report.Clock + s.config.StartWindow - a.received.Sub(s.confRead)
-	elapsed := time.Since(a.received)
-	if notAfter <= a.report.Clock+elapsed || s.out() {
+// startCommand returns the command that starts an attempt, and false if it must
+// not start now. The latest start is the start window after the last read of the
+// configuration, and must lie in the future by the worker's clock.
+func (s *Scheduler) startCommand(a *agent, t *applier.Task, attempt briarspring.AttemptID) (briarspring.StartTask, bool) {
+	notAfter := a.report.Clock + s.config.StartWindow - a.receivedAt.Sub(s.configReadAt)
+	elapsed := time.Since(a.receivedAt)
+	if notAfter <= a.report.Clock+elapsed || s.outOfService() {
 		return briarspring.StartTask{}, false
 	}
 	w := s.conf.Workload(attempt.Task.Workload)
@@ -328,17 +330,17 @@
 	return start, true
 }
 
-// out reports whether operators took this data centre out of service.
-func (s *Scheduler) out() bool {
+// outOfService reports whether operators took this data centre out of service.
+func (s *Scheduler) outOfService() bool {
 	d := s.conf.DataCentre(s.config.DataCentre)
 	return d != nil && d.Out()
 }
 
-// lapsed reports whether the worker's lease has certainly ended: nobody but
-// this owner can have renewed it since the worker first answered it.
-func (a *agent) lapsed(now time.Time) bool {
-	if a.received.IsZero() {
+// leaseExpired reports whether the worker's lease has certainly expired. Since
+// the worker first answered this owner, no other owner can have renewed it.
+func (a *agent) leaseExpired(now time.Time) bool {
+	if a.receivedAt.IsZero() {
 		return false
 	}
-	return now.After(a.received.Add(a.leaseSent - a.report.Clock + lapseMargin))
+	return now.After(a.receivedAt.Add(a.maxLeaseUntil - a.report.Clock + leaseMargin))
 }
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -8,7 +8,7 @@
 	"briarspring/applier"
 )
 
-// NotReadyError tells that the scheduler has not read the log to its end yet.
+// NotReadyError means that the scheduler has not read the log to its end yet.
 type NotReadyError struct {
 	Name string
 }
@@ -18,8 +18,8 @@
 	return fmt.Sprintf("scheduler %s has not read the log to its end yet", e.Name)
 }
 
-// UnknownOutcomeError tells that a command may or may not come into force. The
-// same request id asks again.
+// UnknownOutcomeError means that a command may or may not take effect. A retry
+// with the same request id returns its answer.
 type UnknownOutcomeError struct {
 	RequestID string
 }
@@ -29,14 +29,14 @@
 	return fmt.Sprintf("the log did not answer in time; ask again with request id %q", e.RequestID)
 }
 
-// View gives read access to both states for the length of a call.
-func (s *Scheduler) View(f func(conf *applier.Config, place *applier.Placement)) {
+// View calls f with both states. They must not be used after f returns.
+func (s *Scheduler) View(f func(conf *applier.Config, placement *applier.Placement)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(s.conf, s.place)
+	f(s.conf, s.placement)
 }
 
-// Changed returns a channel that is closed when a state changes.
+// Changed returns a channel that is closed when either state changes.
 func (s *Scheduler) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 func (s *Scheduler) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.placeCommitter != nil
+	return s.placementCommitter != nil
 }
 
 // Owner reports whether this scheduler owns the data centre's workers.
@@ -63,7 +63,7 @@
 	return s.owns()
 }
 
-// Counters returns what the scheduler did so far.
+// Counters returns the scheduler's activity counters.
 func (s *Scheduler) Counters() Counters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,20 +71,20 @@
 }
 
 // Submit appends a command and waits until its record was read back. The
-// answer's error tells why the command was refused.
+// answer's Err is set if the command was refused.
 func (s *Scheduler) Submit(ctx context.Context, cmd briarspring.Command) (applier.Answer, error) {
 	s.mu.Lock()
 	if a, ok := s.conf.Answer(cmd.RequestID); ok {
 		s.mu.Unlock()
 		return a, nil
 	}
-	if s.confCommitter == nil {
+	if s.configCommitter == nil {
 		s.mu.Unlock()
 		return applier.Answer{}, &NotReadyError{Name: s.config.Name}
 	}
 	ch := make(chan applier.Answer, 1)
 	s.answers[cmd.RequestID] = append(s.answers[cmd.RequestID], ch)
-	_, ok := s.confCommitter.Commit(cmd)
+	_, ok := s.configCommitter.Commit(cmd)
 	s.mu.Unlock()
 	if !ok {
 		return applier.Answer{}, &NotReadyError{Name: s.config.Name}
@@ -99,21 +99,21 @@
 	}
 }
 
-// Explanation tells why a task is where it is.
+// Explanation holds the reasons for a task's current state.
 type Explanation struct {
-	Waiting   string // Why the task waits, if it does.
+	Waiting   string // Why the task waits; empty if it does not.
 	Decisions []Decision
 }
 
-const decisionsExplained = 20
+const maxExplainedDecisions = 20
 
-// Explain returns the last decisions on a task and why it waits.
+// Explain returns the latest decisions on a task and why it waits.
 func (s *Scheduler) Explain(id briarspring.TaskID) Explanation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Explanation{
 		Waiting:   s.waiting.reason(id.Workload),
-		Decisions: s.decisions.last(decisionsExplained, func(d Decision) bool { return d.Attempt.Task == id }),
+		Decisions: s.decisions.newest(maxExplainedDecisions, func(d Decision) bool { return d.Attempt.Task == id }),
 	}
 }
 
@@ -121,12 +121,13 @@
 func (s *Scheduler) LastDecisions(n int) []Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.decisions.last(n, func(Decision) bool { return true })
+	return s.decisions.newest(n, func(Decision) bool { return true })
 }
 
-// Watch hands over decisions until the context ends.
+// Watch returns a channel of new decisions, which a slow reader may miss. It
+// sends none after the context ends.
 func (s *Scheduler) Watch(ctx context.Context) <-chan Decision {
-	ch := make(chan Decision, watcherQueue)
+	ch := make(chan Decision, watcherQueueLength)
 	s.mu.Lock()
 	s.decisions.watchers[ch] = struct{}{}
 	s.mu.Unlock()
--- a/scheduler/apply.go
+++ b/scheduler/apply.go
@@ -6,18 +6,18 @@
 	"briarspring/follower"
 )
 
-// takeConfig applies one item of the configuration stream.
-func (s *Scheduler) takeConfig(item follower.Item) {
+// applyConfigItem applies one item of the configuration stream.
+func (s *Scheduler) applyConfigItem(item follower.Item) {
 	switch {
 	case item.Snapshot != nil:
 		s.restoreConfig(item)
 	case !item.CaughtUp.IsZero():
-		s.confRead = item.CaughtUp
+		s.configReadAt = item.CaughtUp
 		return
 	case item.Bad != nil:
 		s.conf.Skip(item.Offset)
 	default:
-		s.noteSnapshot(briarspring.ConfigStream, item)
+		s.observeSnapshotChunk(briarspring.ConfigStream, item)
 		answer, ok := s.conf.Apply(item.Offset, item.Record)
 		if ok {
 			s.deliver(answer)
@@ -27,7 +27,7 @@
 	s.notify()
 }
 
-// restoreConfig replaces the state by a newer one, never by an older one.
+// restoreConfig replaces the state by a snapshot, unless that is older.
 func (s *Scheduler) restoreConfig(item follower.Item) {
 	if item.Offset < s.conf.Applied() {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// deliver hands an answer to the calls that wait for it.
+// deliver sends an answer to the Submit calls that wait for it.
 func (s *Scheduler) deliver(a applier.Answer) {
 	for _, ch := range s.answers[a.RequestID] {
 		ch <- a
@@ -55,28 +55,28 @@
 		s.logger.Info("command refused", "request-id", a.RequestID, "offset", a.Offset, "error", a.Err)
 		return
 	}
-	s.logger.Info("command in force", "request-id", a.RequestID, "offset", a.Offset, "version", a.Version)
+	s.logger.Info("command applied", "request-id", a.RequestID, "offset", a.Offset, "version", a.Version)
 }
 
-// takePlacement applies one item of the placement stream.
-func (s *Scheduler) takePlacement(item follower.Item) {
+// applyPlacementItem applies one item of the placement stream.
+func (s *Scheduler) applyPlacementItem(item follower.Item) {
 	switch {
 	case item.Snapshot != nil:
 		s.restorePlacement(item)
 	case !item.CaughtUp.IsZero():
-		s.placeRead = item.CaughtUp
+		s.placementReadAt = item.CaughtUp
 		return
 	case item.Bad != nil:
-		s.place.Skip(item.Offset)
+		s.placement.Skip(item.Offset)
 	default:
-		s.noteSnapshot(briarspring.PlacementStream(s.config.DataCentre), item)
-		s.applyPlacement(item)
+		s.observeSnapshotChunk(briarspring.PlacementStream(s.config.DataCentre), item)
+		s.applyPlacementRecord(item)
 	}
 	s.notify()
 }
 
 func (s *Scheduler) restorePlacement(item follower.Item) {
-	if item.Offset < s.place.Applied() {
+	if item.Offset < s.placement.Applied() {
 		return
 	}
 	restored, err := applier.RestorePlacement(item.Snapshot)
@@ -84,47 +84,48 @@
 		s.logger.Error("snapshot can't be restored", "stream", "placement", "error", err)
 		return
 	}
-	s.place = restored
-	s.ownership.noteRecord()
+	s.placement = restored
+	s.ownership.ownerSeen()
 }
 
-func (s *Scheduler) applyPlacement(item follower.Item) {
-	epoch := s.place.Epoch()
-	outcomes := s.place.Apply(item.Offset, item.Record)
-	if item.Record.Writer == s.self && item.Record.Sequence >= s.ownership.outstanding {
-		s.ownership.outstanding = 0
+func (s *Scheduler) applyPlacementRecord(item follower.Item) {
+	epoch := s.placement.Epoch()
+	outcomes := s.placement.Apply(item.Offset, item.Record)
+	if item.Record.Writer == s.self && item.Record.Sequence >= s.ownership.pendingSequence {
+		s.ownership.pendingSequence = 0
 	}
-	if item.Record.Writer == s.place.Owner() {
-		s.ownership.noteRecord()
+	if item.Record.Writer == s.placement.Owner() {
+		s.ownership.ownerSeen()
 	}
-	if s.place.Epoch() != epoch {
-		s.epochChanged()
+	if s.placement.Epoch() != epoch {
+		s.resetForEpoch()
 	}
 	for _, o := range outcomes {
 		if o.Err != nil {
-			s.logger.Info("event is void", "offset", item.Offset, "writer", item.Record.Writer.Name, "error", o.Err)
+			s.logger.Info("event has no effect", "offset", item.Offset, "writer", item.Record.Writer.Name, "error", o.Err)
 			continue
 		}
-		s.noteOutcome(o.Event)
+		s.handleAppliedEvent(o.Event)
 	}
 }
 
-// noteOutcome keeps the records of decisions in force that watchers see.
-func (s *Scheduler) noteOutcome(event briarspring.Event) {
+// handleAppliedEvent wakes the agents that an applied event concerns and updates
+// the state that is kept besides the streams.
+func (s *Scheduler) handleAppliedEvent(event briarspring.Event) {
 	if _, idle := event.(briarspring.Beat); !idle {
 		s.roundDue = true
 	}
 	switch e := event.(type) {
 	case briarspring.Start:
-		s.pokeWorker(e.Worker)
+		s.wakeWorker(e.Worker)
 	case briarspring.EvictIntent:
-		if t := s.place.Open(e.Attempt); t != nil {
-			s.pokeWorker(t.Worker())
+		if t := s.placement.Open(e.Attempt); t != nil {
+			s.wakeWorker(t.Worker())
 		}
 	case briarspring.End:
-		s.noteEnd(e)
+		s.handleEnd(e)
 	case briarspring.Cancel:
-		s.pokeAll()
+		s.wakeAllAgents()
 	case briarspring.Forget:
 		s.waiting.forget(e.Workload)
 		s.quarantine.forget(e.Workload)
--- a/scheduler/bench_test.go
+++ b/scheduler/cluster_test.go
@@ -16,8 +16,9 @@
 	"briarspring/scheduler"
 )
 
-// bench is a small system on fakes in virtual time.
-type bench struct {
+// cluster runs schedulers against a simulated log, hosts and workers in virtual
+// time.
+type cluster struct {
 	t          *testing.T
 	ctx        context.Context
 	log        *imitator.Log
@@ -29,61 +30,61 @@
 	requests   int
 }
 
-func newBench(t *testing.T, c imitator.LogConfig) *bench {
+func newCluster(t *testing.T, c imitator.LogConfig) *cluster {
 	ctx, cancel := context.WithCancel(t.Context())
-	b := &bench{
+	cl := &cluster{
 		t: t, ctx: ctx,
 		log: imitator.NewLog(c), hosts: imitator.NewHosts(time.Second), journal: &imitator.Journal{},
 		fleets:     map[string]*imitator.Fleet{},
 		schedulers: map[string]*scheduler.Scheduler{},
 		cancels:    map[string]context.CancelFunc{},
 	}
-	b.log.SetFaults(imitator.LogFaults{Latency: 5 * time.Millisecond})
+	cl.log.SetFaults(imitator.LogFaults{Latency: 5 * time.Millisecond})
 	t.Cleanup(func() {
 		cancel()
-		for _, s := range b.schedulers {
+		for _, s := range cl.schedulers {
 			<-s.Done()
 		}
-		for _, f := range b.fleets {
+		for _, f := range cl.fleets {
 			for _, name := range f.Names() {
 				f.Worker(name).Close()
 			}
 		}
 	})
-	return b
+	return cl
 }
 
 var workerSize = briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 16000, MemoryMiB: 60000, Accelerators: 2})
 
-func (b *bench) addWorkers(dataCentre string, n int) {
-	f := b.fleets[dataCentre]
+func (cl *cluster) addWorkers(dataCentre string, n int) {
+	f := cl.fleets[dataCentre]
 	if f == nil {
 		f = imitator.NewFleet(1)
-		b.fleets[dataCentre] = f
+		cl.fleets[dataCentre] = f
 	}
 	for i := range n {
 		name := fmt.Sprintf("%s-w%02d", dataCentre, i)
-		b.putWorker(dataCentre, name, fmt.Sprintf("%s-r%d", dataCentre, i/8), 1)
+		cl.putWorker(dataCentre, name, fmt.Sprintf("%s-r%d", dataCentre, i/8), 1)
 	}
 }
 
-func (b *bench) putWorker(dataCentre, name, rack string, incarnation uint64) *imitator.Worker {
+func (cl *cluster) putWorker(dataCentre, name, rack string, incarnation uint64) *imitator.Worker {
 	w := imitator.NewWorker(imitator.WorkerConfig{
 		Name: name, Rack: rack, Capacity: workerSize, Incarnation: incarnation,
-		ClockOffset:    time.Duration(len(b.fleets[dataCentre].Names())) * time.Hour,
+		ClockOffset:    time.Duration(len(cl.fleets[dataCentre].Names())) * time.Hour,
 		CheckpointTime: 50 * time.Millisecond, ReportInterval: time.Second, ReportLag: 2 * time.Second,
-		Journal: b.journal,
+		Journal: cl.journal,
 	})
-	b.fleets[dataCentre].Put(w)
-	b.hosts.Put(briarspring.Host{Name: name, DataCentre: dataCentre, Rack: rack, Address: name})
+	cl.fleets[dataCentre].Put(w)
+	cl.hosts.Put(briarspring.Host{Name: name, DataCentre: dataCentre, Rack: rack, Address: name})
 	return w
 }
 
-// start runs a scheduler until the bench ends or kill.
-func (b *bench) start(dataCentre, name string, change ...func(*scheduler.Config)) *scheduler.Scheduler {
+// start runs a scheduler until kill or the end of the test.
+func (cl *cluster) start(dataCentre, name string, change ...func(*scheduler.Config)) *scheduler.Scheduler {
 	c := scheduler.Config{
 		Name: name, DataCentre: dataCentre,
-		Log: b.log.Client(name), Workers: b.fleets[dataCentre].Client(name), Hosts: b.hosts,
+		Log: cl.log.Client(name), Workers: cl.fleets[dataCentre].Client(name), Hosts: cl.hosts,
 	}
 	if testing.Verbose() {
 		c.Logger = hclog.New(&hclog.LoggerOptions{Name: name, Level: hclog.Info})
@@ -92,28 +93,28 @@
 		f(&c)
 	}
 	s := scheduler.New(c)
-	ctx, cancel := context.WithCancel(b.ctx)
-	b.schedulers[name] = s
-	b.cancels[name] = cancel
+	ctx, cancel := context.WithCancel(cl.ctx)
+	cl.schedulers[name] = s
+	cl.cancels[name] = cancel
 	go s.Run(ctx)
 	return s
 }
 
-// kill ends a scheduler at once.
-func (b *bench) kill(name string) {
-	b.cancels[name]()
-	<-b.schedulers[name].Done()
+// kill stops a scheduler without letting it resign.
+func (cl *cluster) kill(name string) {
+	cl.cancels[name]()
+	<-cl.schedulers[name].Done()
 }
 
-func (b *bench) submit(s *scheduler.Scheduler, expected uint64, change briarspring.Change) applier.Answer {
-	b.t.Helper()
-	b.requests++
-	ctx, cancel := context.WithTimeout(b.ctx, time.Minute)
+func (cl *cluster) submit(s *scheduler.Scheduler, expected uint64, change briarspring.Change) applier.Answer {
+	cl.t.Helper()
+	cl.requests++
+	ctx, cancel := context.WithTimeout(cl.ctx, time.Minute)
 	defer cancel()
 	a, err := s.Submit(ctx, briarspring.Command{
-		RequestID: fmt.Sprintf("request-%d", b.requests), ExpectedVersion: expected, Change: change,
+		RequestID: fmt.Sprintf("request-%d", cl.requests), ExpectedVersion: expected, Change: change,
 	})
-	require.NoError(b.t, err)
+	require.NoError(cl.t, err)
 	return a
 }
 
@@ -139,20 +140,21 @@
 	return briarspring.PutJob{Job: j}
 }
 
-// eventually waits in virtual time until a condition on the state holds.
-func (b *bench) eventually(s *scheduler.Scheduler, within time.Duration, what string,
-	condition func(conf *applier.Config, place *applier.Placement) bool) time.Duration {
-	b.t.Helper()
+// eventually polls a condition on the states in virtual time until it holds, and
+// returns how long that took.
+func (cl *cluster) eventually(s *scheduler.Scheduler, within time.Duration, what string,
+	condition func(conf *applier.Config, placement *applier.Placement) bool) time.Duration {
+	cl.t.Helper()
 	begin := time.Now()
 	for time.Since(begin) < within {
 		ok := false
-		s.View(func(conf *applier.Config, place *applier.Placement) { ok = condition(conf, place) })
+		s.View(func(conf *applier.Config, placement *applier.Placement) { ok = condition(conf, placement) })
 		if ok {
 			return time.Since(begin)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	require.Fail(b.t, "did not happen in time", "%s within %s", what, within)
+	require.Fail(cl.t, "did not happen in time", "%s within %s", what, within)
 	return 0
 }
 
@@ -164,7 +166,7 @@
 }
 
 func running(name string, n uint32) func(*applier.Config, *applier.Placement) bool {
-	return func(conf *applier.Config, place *applier.Placement) bool {
+	return func(conf *applier.Config, placement *applier.Placement) bool {
 		w := conf.Service(name)
 		if w == nil {
 			w = conf.Job(name)
@@ -172,23 +174,23 @@
 		if w == nil {
 			return false
 		}
-		l := place.Load(w.ID())
+		l := placement.Load(w.ID())
 		return l != nil && l.Placed() >= n
 	}
 }
 
 func TestServiceAndJobShareWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, imitator.LogConfig{AppendsPerSecond: 300})
-		b.addWorkers("tartu", 4)
-		s := b.start("tartu", "tartu-s1")
-		b.eventually(s, 10*time.Second, "workers joined", func(conf *applier.Config, place *applier.Placement) bool {
-			return len(place.Workers()) == 4 && conf.DataCentre("tartu") != nil
+		cl := newCluster(t, imitator.LogConfig{AppendsPerSecond: 300})
+		cl.addWorkers("tartu", 4)
+		s := cl.start("tartu", "tartu-s1")
+		cl.eventually(s, 10*time.Second, "workers joined", func(conf *applier.Config, placement *applier.Placement) bool {
+			return len(placement.Workers()) == 4 && conf.DataCentre("tartu") != nil
 		})
-		require.NoError(t, b.submit(s, 0, ledger(t, 4)).Err)
-		require.NoError(t, b.submit(s, 0, archive(t, "index", 40, "index time=1s")).Err)
-		b.eventually(s, 2*time.Second, "executors placed", running("ledger", 4))
-		b.eventually(s, 30*time.Second, "job done", jobDone("index"))
-		checkJournal(t, b.journal.Entries())
+		require.NoError(t, cl.submit(s, 0, ledger(t, 4)).Err)
+		require.NoError(t, cl.submit(s, 0, archive(t, "index", 40, "index time=1s")).Err)
+		cl.eventually(s, 2*time.Second, "executors placed", running("ledger", 4))
+		cl.eventually(s, 30*time.Second, "job done", jobDone("index"))
+		checkJournal(t, cl.journal.Entries())
 	})
 }
--- a/scheduler/decide.go
+++ b/scheduler/decide.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	// maxBatchEvents bounds the events of one record.
+	// maxBatchEvents limits the events in one record.
 	maxBatchEvents = 2000
-	// roundInterval is the time between two rounds while no record changes what
-	// placement depends on: workers that answer again, backoffs that end.
+	// roundInterval is the time between two placement rounds while no record
+	// changes their input. Workers that answer again and backoffs that end
+	// change it without a record.
 	roundInterval = 500 * time.Millisecond
-	// maxRoundStarts bounds the starts of one round.
+	// maxRoundStarts limits the starts in one round.
 	maxRoundStarts = 500
 )
 
-// decide queues the next batch of events, unless the last one was not read back
-// yet: decisions are taken on what is in force, one batch at a time.
-func (s *Scheduler) decide() {
+// queueNextBatch queues the next batch of events. It waits until the last batch
+// was read back, so that every decision is based on the applied state.
+func (s *Scheduler) queueNextBatch() {
 	now := time.Now()
-	if s.ownership.outstanding != 0 || now.Sub(s.ownership.lastBatch) < s.config.CommitInterval {
+	if s.ownership.pendingSequence != 0 || now.Sub(s.ownership.lastBatch) < s.config.CommitInterval {
 		return
 	}
 	events := s.reportEvents(now)
 	events = append(events, s.reconcileEvents()...)
-	events = append(events, s.leavingEvents()...)
+	events = append(events, s.leavingHostEvents()...)
 	switch {
-	case s.out():
-		events = append(events, s.moveEvents()...)
+	case s.outOfService():
+		events = append(events, s.evacuationEvents()...)
 	case s.mayStart(now):
-		events = append(events, s.guardEvents()...)
+		events = append(events, s.interferenceEvictions()...)
 		events = append(events, s.rebalanceEvents()...)
-		events = append(events, s.moveReleases()...)
-		events = append(events, s.placeEvents(now)...)
+		events = append(events, s.moveReleaseEvents()...)
+		events = append(events, s.placementEvents(now)...)
 	}
-	if len(events) == 0 && now.Sub(s.ownership.lastBatch) >= s.config.BeatInterval {
+	if len(events) == 0 && now.Sub(s.ownership.lastBatch) >= s.config.IdleBatchInterval {
 		events = append(events, briarspring.Beat{})
 	}
 	if len(events) > 0 {
@@ -45,14 +46,14 @@
 	}
 }
 
-// mayStart reports whether the log was read recently enough for a start to
-// reach its worker in time.
+// mayStart reports whether both streams were read recently enough for a start
+// to reach its worker within the start window.
 func (s *Scheduler) mayStart(now time.Time) bool {
-	return now.Sub(s.confRead) < s.config.StartWindow && now.Sub(s.placeRead) < s.config.StartWindow
+	return now.Sub(s.configReadAt) < s.config.StartWindow && now.Sub(s.placementReadAt) < s.config.StartWindow
 }
 
-// placeEvents runs one round of placement.
-func (s *Scheduler) placeEvents(now time.Time) []briarspring.Event {
+// placementEvents runs one round of placement.
+func (s *Scheduler) placementEvents(now time.Time) []briarspring.Event {
 	if !s.roundDue && now.Sub(s.lastRound) < roundInterval {
 		return nil
 	}
@@ -62,15 +63,15 @@
 	if queue.empty() {
 		return nil
 	}
-	begin := time.Now()
-	round := s.placer.NewRound(s.view(now))
-	queue.run(round)
+	began := time.Now()
+	round := s.placer.NewRound(s.placerWorkers(now))
+	queue.placeAll(round)
 	s.counters.Rounds++
-	s.counters.RoundTime += time.Since(begin)
+	s.counters.RoundTime += time.Since(began)
 	return s.roundEvents(round)
 }
 
-// roundEvents maps the decisions of a round to events.
+// roundEvents converts the decisions of a round to events.
 func (s *Scheduler) roundEvents(round *placer.Round) []briarspring.Event {
 	var events []briarspring.Event
 	for _, d := range round.Decisions() {
@@ -79,12 +80,12 @@
 			events = append(events, briarspring.Start{Attempt: d.Attempt, Worker: d.Worker})
 			s.waiting.clear(d.Attempt.Task.Workload)
 			if d.Probe {
-				s.guard.throttle[d.Attempt] = lowestThrottle
+				s.interference.throttles[d.Attempt] = minThrottlePercent
 			}
 		case placer.KindEvict:
 			events = append(events, briarspring.EvictIntent{Attempt: d.Attempt})
 		case placer.KindWait:
-			if !s.waiting.note(d.Attempt.Task.Workload, d.Reason) {
+			if !s.waiting.record(d.Attempt.Task.Workload, d.Reason) {
 				continue
 			}
 		}
@@ -95,28 +96,28 @@
 	return events
 }
 
-// view returns the workers as the placer sees them.
-func (s *Scheduler) view(now time.Time) []*placer.Worker {
-	workers := make([]*placer.Worker, 0, len(s.place.Workers()))
-	for _, w := range s.place.Workers() {
+// placerWorkers returns the workers in the placer's form.
+func (s *Scheduler) placerWorkers(now time.Time) []*placer.Worker {
+	workers := make([]*placer.Worker, 0, len(s.placement.Workers()))
+	for _, w := range s.placement.Workers() {
 		v := &placer.Worker{
 			Number: w.Number(), Name: w.Name(), Rack: w.Rack(),
 			Free: w.Free(), Soon: w.Free(), Size: w.Capacity(),
 		}
-		v.Why = s.whyUnusable(w, now)
+		v.Why = s.unusableReason(w, now)
 		v.Usable = v.Why == ""
 		if v.Usable {
-			s.viewTasks(v, w)
+			s.addRunningTasks(v, w)
 		}
 		workers = append(workers, v)
 	}
 	return workers
 }
 
-func (s *Scheduler) viewTasks(v *placer.Worker, w *applier.Worker) {
+func (s *Scheduler) addRunningTasks(v *placer.Worker, w *applier.Worker) {
 	for _, id := range w.Tasks() {
-		t := s.place.Task(id)
-		l := s.place.Load(id.Workload)
+		t := s.placement.Task(id)
+		l := s.placement.Load(id.Workload)
 		r := placer.Running{
 			Attempt:   briarspring.AttemptID{Task: id, Attempt: t.Attempt()},
 			Resources: l.Resources(),
@@ -135,47 +136,47 @@
 	}
 }
 
-// whyUnusable returns why a worker takes no new task, or "".
-func (s *Scheduler) whyUnusable(w *applier.Worker, now time.Time) string {
+// unusableReason returns why a worker can't take a new task, or "" if it can.
+func (s *Scheduler) unusableReason(w *applier.Worker, now time.Time) string {
 	a := s.agents[w.Name()]
 	switch {
 	case w.Gone():
 		return "is gone"
-	case a == nil || a.received.IsZero():
+	case a == nil || a.receivedAt.IsZero():
 		return "was not reached under this epoch"
 	case a.failures > 0:
 		return "does not answer"
 	case a.host.Leaving:
 		return "is leaving"
-	case s.quarantine.closed(w.Number(), w.Len(), now):
+	case s.quarantine.unavailable(w.Number(), w.Len(), now):
 		return "is quarantined, it failed everything it started"
 	}
 	return ""
 }
 
-// leavingEvents evicts what runs on workers whose hosts are leaving.
-func (s *Scheduler) leavingEvents() []briarspring.Event {
+// leavingHostEvents evicts the tasks on workers whose hosts are leaving.
+func (s *Scheduler) leavingHostEvents() []briarspring.Event {
 	var events []briarspring.Event
 	for _, name := range s.agentNames() {
 		if !s.agents[name].host.Leaving {
 			continue
 		}
-		w := s.place.WorkerByName(name)
+		w := s.placement.WorkerByName(name)
 		if w == nil || w.Gone() {
 			continue
 		}
 		for _, id := range w.Tasks() {
-			t := s.place.Task(id)
+			t := s.placement.Task(id)
 			if !t.Evicting() && !t.Cancelled() {
-				events = append(events, s.evictIntent(s.place.Load(id.Workload), t, "its host is leaving"))
+				events = append(events, s.evictIntent(s.placement.Load(id.Workload), t, "its host is leaving"))
 			}
 		}
 	}
 	return events
 }
 
-// noteEnd learns from how an attempt ended.
-func (s *Scheduler) noteEnd(e briarspring.End) {
-	delete(s.guard.throttle, e.Attempt)
+// handleEnd drops the throttle of an attempt that ended and records the end.
+func (s *Scheduler) handleEnd(e briarspring.End) {
+	delete(s.interference.throttles, e.Attempt)
 	s.recordDecision(Decision{Kind: "end", Attempt: e.Attempt, Reason: e.Reason.String()})
 }
--- a/scheduler/decisions.go
+++ b/scheduler/decisions.go
@@ -7,53 +7,53 @@
 )
 
 const (
-	// decisionsKept bounds the remembered decisions.
-	decisionsKept = 8192
-	// watcherQueue bounds the decisions that a slow watcher is behind.
-	watcherQueue = 1024
+	// maxKeptDecisions limits the decisions kept in memory.
+	maxKeptDecisions = 8192
+	// watcherQueueLength is the number of decisions buffered for a watcher.
+	watcherQueueLength = 1024
 )
 
-// Decision is one decision of the scheduler with its reasons.
+// Decision describes one decision of the scheduler and its reason.
 type Decision struct {
 	Time     time.Time
 	Kind     string
 	Attempt  briarspring.AttemptID
-	Name     string // Of the workload.
+	Name     string // Name of the workload.
 	Worker   string
 	Reason   string
-	Ratio    float64 // Tail latency to baseline, where that was the reason.
+	Ratio    float64 // Tail latency divided by its baseline, if that was the reason.
 	Rejected []string
 }
 
-// decisionLog keeps the last decisions and hands them to watchers.
+// decisionLog keeps the latest decisions and sends new ones to watchers.
 type decisionLog struct {
 	ring     []Decision
-	next     int
+	nextSlot int
 	watchers map[chan Decision]struct{}
 }
 
 func (d *decisionLog) init() { d.watchers = map[chan Decision]struct{}{} }
 
 func (d *decisionLog) add(x Decision) {
-	if len(d.ring) < decisionsKept {
+	if len(d.ring) < maxKeptDecisions {
 		d.ring = append(d.ring, x)
 	} else {
-		d.ring[d.next] = x
+		d.ring[d.nextSlot] = x
 	}
-	d.next = (d.next + 1) % decisionsKept
+	d.nextSlot = (d.nextSlot + 1) % maxKeptDecisions
 	for w := range d.watchers {
 		select {
 		case w <- x:
-		default: // A watcher that is too slow misses decisions.
+		default: // A slow watcher misses decisions rather than blocking the scheduler.
 		}
 	}
 }
 
-// last returns up to n decisions that match, newest first.
-func (d *decisionLog) last(n int, match func(Decision) bool) []Decision {
+// newest returns up to n matching decisions, newest first.
+func (d *decisionLog) newest(n int, match func(Decision) bool) []Decision {
 	var out []Decision
 	for i := range d.ring {
-		x := d.ring[(d.next-1-i+2*len(d.ring))%len(d.ring)]
+		x := d.ring[(d.nextSlot-1-i+2*len(d.ring))%len(d.ring)]
 		if match(x) {
 			out = append(out, x)
 		}
@@ -85,68 +85,69 @@
 }
 
 func (s *Scheduler) workerName(number uint32) string {
-	if w := s.place.Worker(number); w != nil {
+	if w := s.placement.Worker(number); w != nil {
 		return w.Name()
 	}
 	return ""
 }
 
-// waitingReasons knows why workloads wait, and when they last had to.
+// waitingReasons records why workloads wait and when one of their tasks last
+// found no room.
 type waitingReasons struct {
-	reasons map[briarspring.WorkloadID]string
-	blocked map[briarspring.WorkloadID]time.Time
-	idle    map[briarspring.WorkloadID]time.Time // Since when nothing of the workload runs.
+	reasons     map[briarspring.WorkloadID]string
+	lastBlocked map[briarspring.WorkloadID]time.Time
+	idleSince   map[briarspring.WorkloadID]time.Time // Since when no task of a waiting workload runs here.
 }
 
-// probeAfter is how long a job waits of which nothing runs here, before one of
-// its tasks starts, at the lowest throttle, where it is expected to slow a
-// service too much. Only a task that runs can correct an estimate; fading alone
-// takes minutes.
+// probeAfter is how long a job without a running task waits here before one of
+// its tasks may start at the lowest throttle beside a service that it is
+// expected to slow too much. Only a running task can correct the estimate; its
+// decay alone takes minutes.
 const probeAfter = 8 * time.Second
 
-// starves reports whether nothing of a waiting workload has run for so long that
-// one of its tasks may probe.
-func (w *waitingReasons) starves(id briarspring.WorkloadID, now time.Time, placed uint32) bool {
+// mayProbe reports whether a waiting workload has had no running task for long
+// enough to start one as a probe.
+func (w *waitingReasons) mayProbe(id briarspring.WorkloadID, now time.Time, placed uint32) bool {
 	if placed > 0 {
-		delete(w.idle, id)
+		delete(w.idleSince, id)
 		return false
 	}
-	since, ok := w.idle[id]
+	since, ok := w.idleSince[id]
 	if !ok {
-		w.idle[id] = now
+		w.idleSince[id] = now
 		return false
 	}
 	return now.Sub(since) > probeAfter
 }
 
 func (w *waitingReasons) init() {
-	w.idle = map[briarspring.WorkloadID]time.Time{}
+	w.idleSince = map[briarspring.WorkloadID]time.Time{}
 	w.reasons = map[briarspring.WorkloadID]string{}
-	w.blocked = map[briarspring.WorkloadID]time.Time{}
+	w.lastBlocked = map[briarspring.WorkloadID]time.Time{}
 }
 
-// note keeps a reason and reports whether it is new.
-func (w *waitingReasons) note(id briarspring.WorkloadID, reason string) bool {
-	fresh := w.reasons[id] != reason
+// record stores why a workload waits and reports whether the reason is new.
+func (w *waitingReasons) record(id briarspring.WorkloadID, reason string) bool {
+	isNew := w.reasons[id] != reason
 	w.reasons[id] = reason
-	w.blocked[id] = time.Now()
-	return fresh
+	w.lastBlocked[id] = time.Now()
+	return isNew
 }
 
 func (w *waitingReasons) clear(id briarspring.WorkloadID) { delete(w.reasons, id) }
 
-// forget drops what is known of a workload that has ended.
+// forget removes the entries of a workload that has ended.
 func (w *waitingReasons) forget(id briarspring.WorkloadID) {
 	delete(w.reasons, id)
-	delete(w.blocked, id)
-	delete(w.idle, id)
+	delete(w.lastBlocked, id)
+	delete(w.idleSince, id)
 }
 
 func (w *waitingReasons) reason(id briarspring.WorkloadID) string { return w.reasons[id] }
 
 // blockedWithin reports whether a task of the workload found no room within the
-// last time. Starts of others do not count against it.
-func (w *waitingReasons) blockedWithin(id briarspring.WorkloadID, now time.Time, last time.Duration) bool {
-	at, ok := w.blocked[id]
-	return ok && now.Sub(at) < last
+// given time, even if other tasks of it have started since.
+func (w *waitingReasons) blockedWithin(id briarspring.WorkloadID, now time.Time, within time.Duration) bool {
+	at, ok := w.lastBlocked[id]
+	return ok && now.Sub(at) < within
 }
--- a/scheduler/feed.go
+++ b/scheduler/feed.go
@@ -9,17 +9,17 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// Feed returns what the gateways of the data centre need to know. Owner and
-// followers alike can answer, since executors' addresses are in the stream.
-// There is nothing to tell while the log is read for the first time, since the
-// state is an old one then.
+// Feed returns the services, quotas and executors for the gateways of the data
+// centre. Both the owner and followers can serve it, since executors' addresses
+// are in the stream. It returns nil until the log has been read to its end or
+// the states were restored, since the state is out of date until then.
 func (s *Scheduler) Feed() *pb.Feed {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.placeCommitter == nil && !s.restored {
+	if s.placementCommitter == nil && !s.restored {
 		return nil
 	}
-	m := &pb.Feed{ConfigOffset: s.conf.Applied(), PlacementOffset: s.place.Applied()}
+	m := &pb.Feed{ConfigOffset: s.conf.Applied(), PlacementOffset: s.placement.Applied()}
 	for _, w := range s.conf.Services() {
 		m.Services = append(m.Services, &pb.FeedService{
 			Name: w.Name(), Team: w.Team(), Prefix: w.Service().Prefix(),
@@ -28,8 +28,8 @@
 	for _, q := range s.conf.Quotas() {
 		m.Quotas = append(m.Quotas, encoder.EncodeQuota(q.Quota))
 	}
-	for _, id := range s.place.Loads() {
-		l := s.place.Load(id)
+	for _, id := range s.placement.Loads() {
+		l := s.placement.Load(id)
 		w := s.conf.Workload(id)
 		if w == nil || w.Service() == nil {
 			continue
@@ -56,7 +56,7 @@
 	}
 }
 
-// Snapshot returns the state of a stream as it has been applied.
+// Snapshot returns the encoded state of a stream and the offset it covers.
 func (s *Scheduler) Snapshot(stream string) (applied uint64, data []byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,15 +65,15 @@
 		data, err = s.conf.Snapshot()
 		return s.conf.Applied(), data, err
 	case briarspring.PlacementStream(s.config.DataCentre):
-		data, err = s.place.Snapshot()
-		return s.place.Applied(), data, err
+		data, err = s.placement.Snapshot()
+		return s.placement.Applied(), data, err
 	}
 	return 0, nil, &briarspring.NotFoundError{Object: "stream/" + stream}
 }
 
-// Restore takes states from a peer before Run. A state that is not newer than
-// the one in force has no effect.
-func (s *Scheduler) Restore(conf, place []byte) error {
+// Restore loads states received from a peer. It must be called before Run. A
+// state that is not newer than the current one is ignored.
+func (s *Scheduler) Restore(conf, placement []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(conf) > 0 {
@@ -85,16 +85,16 @@
 			s.conf = c
 		}
 	}
-	if len(place) > 0 {
-		p, err := applier.RestorePlacement(place)
+	if len(placement) > 0 {
+		p, err := applier.RestorePlacement(placement)
 		if err != nil {
 			return err
 		}
-		if p.Applied() > s.place.Applied() {
-			s.place = p
+		if p.Applied() > s.placement.Applied() {
+			s.placement = p
 		}
 	}
-	s.restored = s.restored || len(conf) > 0 && len(place) > 0
+	s.restored = s.restored || len(conf) > 0 && len(placement) > 0
 	s.notify()
 	return nil
 }
--- a/scheduler/gate_test.go
+++ b/scheduler/gate_test.go
@@ -10,56 +10,55 @@
 	"briarspring/imitator"
 )
 
-// gate stands between one scheduler and the outside. While it is shut, calls
-// neither leave nor return, as in a process that is stopped between two steps;
-// what was decided before is sent when it opens.
+// gate wraps the external calls of one scheduler. While it is blocked, calls
+// neither leave nor return, as if the process was stopped between two steps.
+// Calls that were decided on before are sent when it is unblocked.
 type gate struct {
 	log     *imitator.LogClient
 	workers *imitator.FleetClient
 	hosts   *imitator.Hosts
 
-	mu     sync.Mutex
-	opened chan struct{} // Not nil while the gate is shut.
+	mu        sync.Mutex
+	unblocked chan struct{} // Not nil while the gate is blocked.
 }
 
-func (g *gate) shut() {
+func (g *gate) block() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.opened == nil {
-		g.opened = make(chan struct{})
+	if g.unblocked == nil {
+		g.unblocked = make(chan struct{})
 	}
 }
 
-func (g *gate) open() {
+func (g *gate) unblock() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.opened != nil {
-		close(g.opened)
-		g.opened = nil
+	if g.unblocked != nil {
+		close(g.unblocked)
+		g.unblocked = nil
 	}
 }
 
-// pass waits while the gate is shut. A call goes on though its deadline has
-// passed meanwhile, since a stopped process does not notice it; only the end
-// of the process gives it up.
-func (g *gate) pass(ctx context.Context) context.Context {
+// wait waits while the gate is blocked. The call continues even if its deadline
+// has passed meanwhile, since a stopped process does not notice that.
+func (g *gate) wait(ctx context.Context) context.Context {
 	g.mu.Lock()
-	opened := g.opened
+	unblocked := g.unblocked
 	g.mu.Unlock()
-	if opened == nil {
+	if unblocked == nil {
 		return ctx
 	}
-	<-opened
+	<-unblocked
 	return context.WithoutCancel(ctx)
 }
 
-const gatedCall = 3 * time.Second
+const gatedCallTimeout = 3 * time.Second
 
 func (g *gate) call(ctx context.Context, f func(context.Context)) {
-	ctx, cancel := context.WithTimeout(g.pass(ctx), gatedCall)
+	ctx, cancel := context.WithTimeout(g.wait(ctx), gatedCallTimeout)
 	defer cancel()
 	f(ctx)
-	g.pass(ctx)
+	g.wait(ctx)
 }
 
 func (g *gate) Append(ctx context.Context, stream string, record []byte) (offset uint64, err error) {
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -13,95 +13,104 @@
 )
 
 const (
-	// slowRatio of a service's tail to its baseline calls for throttling.
-	slowRatio = 1.15
-	// calmRatio of a service's tail to its baseline lets throttles loosen: what
-	// rises beside it when processors are doubled stays below slowRatio.
-	calmRatio = 1 + (slowRatio-1)/2
-	// blamedShare of the noisiest task's noise makes another one be throttled too.
-	blamedShare = 0.5
-	// calmReports in a row are needed before throttles loosen.
-	calmReports = 5
-	// historyLength bounds the remembered compositions of a worker.
-	historyLength = 64
-	// decayInterval is the time between two fadings of the estimates.
+	// throttleRatio is the ratio of a service's tail latency to its baseline
+	// above which batch tasks are throttled.
+	throttleRatio = 1.15
+	// loosenRatio is the ratio below which throttles are loosened: doubling the
+	// excess over the baseline then stays below throttleRatio.
+	loosenRatio = 1 + (throttleRatio-1)/2
+	// minInterferenceShare is the share of the highest interference from which on
+	// another task is throttled too.
+	minInterferenceShare = 0.5
+	// reportsToLoosen is the number of consecutive reports below loosenRatio
+	// before throttles are loosened.
+	reportsToLoosen = 5
+	// maxCompositions limits the compositions kept for a worker.
+	maxCompositions = 64
+	// decayInterval is the time between two decays of the estimates.
 	decayInterval = 10 * time.Second
-	// lowestThrottle in percent comes before an eviction.
-	lowestThrottle = 25
+	// minThrottlePercent is the lowest throttle before an eviction.
+	minThrottlePercent = 25
 )
 
-// guard throttles and evicts batch tasks that slow a service beside them.
-type guard struct {
-	workers  map[string]*guardWorker
-	throttle map[briarspring.AttemptID]uint32
-	limiter  *rate.Limiter
-	decayed  time.Time
-	evict    []briarspring.AttemptID // Chosen and not recorded yet.
+// interferenceControl throttles and evicts batch tasks that slow a service on
+// the same worker.
+type interferenceControl struct {
+	workers          map[string]*workerInterference
+	throttles        map[briarspring.AttemptID]uint32
+	limiter          *rate.Limiter
+	lastDecay        time.Time
+	pendingEvictions []briarspring.AttemptID // Chosen but not yet in a batch.
 }
 
-// guardWorker is what the guard knows of one worker.
-type guardWorker struct {
-	history []composition
-	calm    int
+// workerInterference holds the recent compositions of a worker and its reports
+// below loosenRatio in a row.
+type workerInterference struct {
+	history      []composition
+	reportsBelow int
 }
 
-// composition is what ran on a worker from one of its clock readings on.
+// composition holds the batch tasks that ran on a worker from a clock reading
+// on.
 type composition struct {
-	clock  time.Duration
-	beside []learner.Beside
+	clock time.Duration
+	batch []learner.Beside
 }
 
-func (g *guard) init() {
-	g.workers = map[string]*guardWorker{}
-	g.throttle = map[briarspring.AttemptID]uint32{}
+func (g *interferenceControl) init() {
+	g.workers = map[string]*workerInterference{}
+	g.throttles = map[briarspring.AttemptID]uint32{}
 }
 
-// percent returns the share of its processors that an attempt may use.
-func (g *guard) percent(attempt briarspring.AttemptID) uint32 {
-	if p, ok := g.throttle[attempt]; ok {
+// throttlePercent returns the share of its processors that an attempt may use,
+// in percent.
+func (g *interferenceControl) throttlePercent(attempt briarspring.AttemptID) uint32 {
+	if p, ok := g.throttles[attempt]; ok {
 		return p
 	}
-	return fullSpeed
+	return unthrottledPercent
 }
 
-func (g *guard) worker(name string) *guardWorker {
+func (g *interferenceControl) worker(name string) *workerInterference {
 	w := g.workers[name]
 	if w == nil {
-		w = &guardWorker{}
+		w = &workerInterference{}
 		g.workers[name] = w
 	}
 	return w
 }
 
-// learn takes the measurements of a report, each with what ran on the worker
-// when it was taken.
-func (s *Scheduler) learn(a *agent, usage []briarspring.Usage) {
-	w := s.guard.worker(a.host.Name)
-	w.remember(a.report.Clock, s.besideOn(a))
-	worst := 0.0
+// learnFromUsage feeds the measurements of a report to the learner, each with
+// the batch tasks that ran on the worker when it was taken, and adjusts the
+// worker's throttles to the slowest service.
+func (s *Scheduler) learnFromUsage(a *agent, usage []briarspring.Usage) {
+	w := s.interference.worker(a.host.Name)
+	w.addComposition(a.report.Clock, s.runningBatch(a))
+	highestRatio := 0.0
 	for _, u := range usage {
 		c := s.conf.Workload(u.Attempt.Task.Workload)
 		if c == nil || c.Service() == nil || u.Requests == 0 {
 			continue
 		}
-		beside, stable := w.at(u.Taken)
+		batch, stable := w.compositionAt(u.Taken)
 		if !stable {
 			continue
 		}
-		s.learner.Observe(c.Name(), u.P99, beside)
-		worst = max(worst, s.learner.Ratio(c.Name(), u.P99))
+		s.learner.Observe(c.Name(), u.P99, batch)
+		highestRatio = max(highestRatio, s.learner.Ratio(c.Name(), u.P99))
 	}
-	if worst > 0 && (s.config.Rule == "" || s.config.Rule == placer.RuleInterference) {
-		s.react(a, w, worst)
+	if highestRatio > 0 && (s.config.Rule == "" || s.config.Rule == placer.RuleInterference) {
+		s.adjustThrottles(a, w, highestRatio)
 	}
-	if now := time.Now(); now.Sub(s.guard.decayed) > decayInterval {
-		s.guard.decayed = now
+	if now := time.Now(); now.Sub(s.interference.lastDecay) > decayInterval {
+		s.interference.lastDecay = now
 		s.learner.Decay()
 	}
 }
 
-// besideOn returns the batch tasks on a worker by class, in order of class.
-func (s *Scheduler) besideOn(a *agent) []learner.Beside {
+// runningBatch returns the running batch tasks on a worker by class, sorted by
+// class. A throttled task counts as its throttle's fraction of a task.
+func (s *Scheduler) runningBatch(a *agent) []learner.Beside {
 	counts := map[string]float64{}
 	for attempt, r := range a.reported {
 		if r.Phase != briarspring.TaskRunning {
@@ -111,28 +120,28 @@
 		if c == nil || c.Job() == nil {
 			continue
 		}
-		counts[c.Job().Class()] += float64(s.guard.percent(attempt)) / fullSpeed
+		counts[c.Job().Class()] += float64(s.interference.throttlePercent(attempt)) / unthrottledPercent
 	}
-	var beside []learner.Beside
+	var batch []learner.Beside
 	for class, n := range counts {
-		beside = append(beside, learner.Beside{Class: class, Tasks: n})
+		batch = append(batch, learner.Beside{Class: class, Tasks: n})
 	}
-	slices.SortFunc(beside, func(x, y learner.Beside) int { return cmp.Compare(x.Class, y.Class) })
-	return beside
+	slices.SortFunc(batch, func(x, y learner.Beside) int { return cmp.Compare(x.Class, y.Class) })
+	return batch
 }
 
-// remember keeps what ran at a clock reading.
-func (w *guardWorker) remember(clock time.Duration, beside []learner.Beside) {
-	w.history = append(w.history, composition{clock: clock, beside: beside})
-	if len(w.history) > historyLength {
-		w.history = w.history[len(w.history)-historyLength:]
+// addComposition stores the batch tasks that run from a clock reading on.
+func (w *workerInterference) addComposition(clock time.Duration, batch []learner.Beside) {
+	w.history = append(w.history, composition{clock: clock, batch: batch})
+	if len(w.history) > maxCompositions {
+		w.history = w.history[len(w.history)-maxCompositions:]
 	}
 }
 
-// at returns what ran at a clock reading, and whether tasks of the same classes
-// ran after it. Reports come with every change, so the numbers are those of the
-// moment.
-func (w *guardWorker) at(clock time.Duration) ([]learner.Beside, bool) {
+// compositionAt returns the batch tasks that ran at a clock reading. It returns
+// false if they are not known or the next composition has other classes. A
+// worker reports every change, so the task counts are those of that moment.
+func (w *workerInterference) compositionAt(clock time.Duration) ([]learner.Beside, bool) {
 	i := len(w.history) - 1
 	for i >= 0 && w.history[i].clock > clock {
 		i--
@@ -140,36 +149,36 @@
 	if i < 0 {
 		return nil, false
 	}
-	now := w.history[i].beside
-	if i+1 < len(w.history) && !slices.EqualFunc(now, w.history[i+1].beside, sameClass) {
+	batch := w.history[i].batch
+	if i+1 < len(w.history) && !slices.EqualFunc(batch, w.history[i+1].batch, equalClass) {
 		return nil, false
 	}
-	return now, true
+	return batch, true
 }
 
-func sameClass(a, b learner.Beside) bool { return a.Class == b.Class }
+func equalClass(a, b learner.Beside) bool { return a.Class == b.Class }
 
-// react tightens or loosens the throttles of a worker by one step.
-func (s *Scheduler) react(a *agent, w *guardWorker, ratio float64) {
+// adjustThrottles tightens or loosens the throttles on a worker by one step.
+func (s *Scheduler) adjustThrottles(a *agent, w *workerInterference, ratio float64) {
 	switch {
-	case ratio > slowRatio:
-		w.calm = 0
-		s.tighten(a, ratio)
-	case ratio < calmRatio:
-		w.calm++
-		if w.calm >= calmReports {
-			w.calm = 0
-			s.loosen(a)
+	case ratio > throttleRatio:
+		w.reportsBelow = 0
+		s.tightenThrottles(a, ratio)
+	case ratio < loosenRatio:
+		w.reportsBelow++
+		if w.reportsBelow >= reportsToLoosen {
+			w.reportsBelow = 0
+			s.loosenThrottles(a)
 		}
 	default:
-		w.calm = 0
+		w.reportsBelow = 0
 	}
 }
 
-// batchOn returns the running batch attempts of a worker, the noisiest class
-// first.
-func (s *Scheduler) batchOn(a *agent) (list []briarspring.AttemptID, noise map[briarspring.AttemptID]float64) {
-	noise = map[briarspring.AttemptID]float64{}
+// batchByInterference returns the running batch attempts on a worker and their
+// estimated interference with its services, highest first.
+func (s *Scheduler) batchByInterference(a *agent) (attempts []briarspring.AttemptID, interference map[briarspring.AttemptID]float64) {
+	interference = map[briarspring.AttemptID]float64{}
 	var services []string
 	for attempt, r := range a.reported {
 		c := s.conf.Workload(attempt.Task.Workload)
@@ -179,78 +188,79 @@
 		if c.Service() != nil {
 			services = append(services, c.Name())
 		} else {
-			list = append(list, attempt)
+			attempts = append(attempts, attempt)
 		}
 	}
-	for _, attempt := range list {
+	for _, attempt := range attempts {
 		class := s.conf.Workload(attempt.Task.Workload).Job().Class()
 		for _, name := range services {
-			noise[attempt] = max(noise[attempt], s.learner.Slowdown(name, class))
+			interference[attempt] = max(interference[attempt], s.learner.Slowdown(name, class))
 		}
 	}
-	slices.SortFunc(list, func(x, y briarspring.AttemptID) int {
+	slices.SortFunc(attempts, func(x, y briarspring.AttemptID) int {
 		return cmp.Or(
-			cmp.Compare(noise[y], noise[x]),
+			cmp.Compare(interference[y], interference[x]),
 			cmp.Compare(x.Task.Workload, y.Task.Workload),
 			cmp.Compare(x.Task.Index, y.Task.Index),
 		)
 	})
-	return list, noise
+	return attempts, interference
 }
 
-// tighten halves the processors of the noisiest tasks, or evicts one that is
-// throttled to the lowest step already.
-func (s *Scheduler) tighten(a *agent, ratio float64) {
-	list, noise := s.batchOn(a)
-	for _, attempt := range list {
-		percent := s.guard.percent(attempt)
-		if percent <= lowestThrottle || noise[attempt] < blamedShare*noise[list[0]] {
+// tightenThrottles halves the processors of the tasks that interfere most. If
+// the first of them is at the lowest throttle then, it is evicted, as far as the
+// rate limit on evictions allows.
+func (s *Scheduler) tightenThrottles(a *agent, ratio float64) {
+	attempts, interference := s.batchByInterference(a)
+	for _, attempt := range attempts {
+		percent := s.interference.throttlePercent(attempt)
+		if percent <= minThrottlePercent || interference[attempt] < minInterferenceShare*interference[attempts[0]] {
 			continue
 		}
-		s.guard.throttle[attempt] = percent / 2
+		s.interference.throttles[attempt] = percent / 2
 		s.recordDecision(Decision{
 			Kind: "throttle", Attempt: attempt, Worker: a.host.Name,
 			Reason: "a service beside it answers slowly", Ratio: ratio,
 		})
 	}
-	if s.guard.limiter == nil {
+	if s.interference.limiter == nil {
 		perSecond := rate.Limit(float64(s.config.EvictionsPerMin) / 60)
-		s.guard.limiter = rate.NewLimiter(perSecond, max(1, s.config.EvictionsPerMin/6))
+		s.interference.limiter = rate.NewLimiter(perSecond, max(1, s.config.EvictionsPerMin/6))
 	}
-	if len(list) == 0 || s.guard.percent(list[0]) > lowestThrottle || !s.guard.limiter.Allow() {
+	if len(attempts) == 0 || s.interference.throttlePercent(attempts[0]) > minThrottlePercent || !s.interference.limiter.Allow() {
 		a.wake()
 		return
 	}
-	s.guard.evict = append(s.guard.evict, list[0])
+	s.interference.pendingEvictions = append(s.interference.pendingEvictions, attempts[0])
 	a.wake()
 }
 
-// loosen doubles the throttles of a worker.
-func (s *Scheduler) loosen(a *agent) {
+// loosenThrottles doubles the throttle percentages on a worker.
+func (s *Scheduler) loosenThrottles(a *agent) {
 	for attempt := range a.reported {
-		percent, throttled := s.guard.throttle[attempt]
+		percent, throttled := s.interference.throttles[attempt]
 		if !throttled {
 			continue
 		}
-		if 2*percent >= fullSpeed {
-			delete(s.guard.throttle, attempt)
+		if 2*percent >= unthrottledPercent {
+			delete(s.interference.throttles, attempt)
 		} else {
-			s.guard.throttle[attempt] = 2 * percent
+			s.interference.throttles[attempt] = 2 * percent
 		}
 	}
 	a.wake()
 }
 
-// guardEvents returns the evictions that the guard has chosen.
-func (s *Scheduler) guardEvents() []briarspring.Event {
+// interferenceEvictions returns the evictions chosen by tightenThrottles.
+func (s *Scheduler) interferenceEvictions() []briarspring.Event {
 	var events []briarspring.Event
-	for _, attempt := range s.guard.evict {
-		t := s.place.Open(attempt)
+	for _, attempt := range s.interference.pendingEvictions {
+		t := s.placement.Open(attempt)
 		if t == nil || t.Evicting() {
 			continue
 		}
-		events = append(events, s.evictIntent(s.place.Load(attempt.Task.Workload), t, "slows a service beside it"))
+		events = append(events, s.evictIntent(s.placement.Load(attempt.Task.Workload), t, "slows a service beside it"))
 	}
-	s.guard.evict = nil
+	s.interference.pendingEvictions = nil
 	return events
 }
--- a/scheduler/history_acts_test.go
+++ b/scheduler/history_actions_test.go
@@ -9,28 +9,28 @@
 	"briarspring/imitator"
 )
 
-// do makes one act of a history happen.
-func (h *history) do(a act) {
+// perform carries out one action of a history.
+func (h *history) perform(a action) {
 	names := h.schedulerNames()
 	name := names[a.Target%len(names)]
-	place := historyPlaces[a.Target%len(historyPlaces)]
-	fleet := h.fleets[place]
+	dataCentre := historyDataCentres[a.Target%len(historyDataCentres)]
+	fleet := h.fleets[dataCentre]
 	workers := fleet.Names()
 	switch a.Kind {
 	case "kill-scheduler":
-		h.gates[name].open()
+		h.gates[name].unblock()
 		h.kill(name)
-		h.run(name)
+		h.startScheduler(name)
 	case "stop-scheduler":
 		go h.schedulers[name].Stop(h.schedulers[name].Done())
-		h.pause(time.Second)
-		h.gates[name].open()
+		h.advance(time.Second)
+		h.gates[name].unblock()
 		h.kill(name)
-		h.run(name)
+		h.startScheduler(name)
 	case "freeze-scheduler":
 		g := h.gates[name]
-		g.shut()
-		h.later(a.Length, g.open)
+		g.block()
+		h.after(a.Length, g.unblock)
 	case "cut-log":
 		h.changeLog(a.Length, func(f *imitator.LogFaults) { f.CutCallers = with(f.CutCallers, name) },
 			func(f *imitator.LogFaults) { f.CutCallers = without(f.CutCallers, name) })
@@ -42,7 +42,7 @@
 	case "lose-answers":
 		h.changeLog(a.Length, func(f *imitator.LogFaults) { f.LoseAnswers = 0.5 }, func(f *imitator.LogFaults) { f.LoseAnswers = 0 })
 	case "cut-workers":
-		own := h.fleets[placeOf(name)]
+		own := h.fleets[dataCentreOf(name)]
 		changeFleet(h, own, a.Length, func(f *imitator.FleetFaults) { f.CutCallers = with(f.CutCallers, name) },
 			func(f *imitator.FleetFaults) { f.CutCallers = without(f.CutCallers, name) })
 	case "lose-worker-answers":
@@ -56,35 +56,35 @@
 		changeFleet(h, fleet, a.Length, func(f *imitator.FleetFaults) { f.CutWorkers = with(f.CutWorkers, w) },
 			func(f *imitator.FleetFaults) { f.CutWorkers = without(f.CutWorkers, w) })
 	case "kill-worker":
-		h.killWorker(place, workers[a.Target%len(workers)])
+		h.killWorker(dataCentre, workers[a.Target%len(workers)])
 	case "restart-worker":
 		w := workers[a.Target%len(workers)]
 		fleet.Worker(w).Close()
-		h.putWorker(place, w, place+"-r0", uint64(time.Now().UnixNano()))
+		h.putWorker(dataCentre, w, dataCentre+"-r0", uint64(time.Now().UnixNano()))
 	case "leave-worker":
 		w := workers[a.Target%len(workers)]
 		h.hosts.SetLeaving(w, true)
-		h.later(a.Length, func() { h.hosts.SetLeaving(w, false) })
+		h.after(a.Length, func() { h.hosts.SetLeaving(w, false) })
 	case "take-out":
-		h.takeOut(place, a.Length)
+		h.takeOut(dataCentre, a.Length)
 	case "cut-place-take-out":
 		h.createJob(uint32(8 + a.Target))
-		for _, name := range h.schedulersOf(place) {
+		for _, name := range h.schedulersOf(dataCentre) {
 			h.changeLog(a.Length, func(f *imitator.LogFaults) { f.CutCallers = with(f.CutCallers, name) },
 				func(f *imitator.LogFaults) { f.CutCallers = without(f.CutCallers, name) })
 		}
-		h.takeOut(place, a.Length)
+		h.takeOut(dataCentre, a.Length)
 	case "freeze-place-take-out":
 		h.createJob(uint32(8 + a.Target))
-		for _, name := range h.schedulersOf(place) {
+		for _, name := range h.schedulersOf(dataCentre) {
 			g := h.gates[name]
-			g.shut()
-			h.later(a.Length/2, g.open)
+			g.block()
+			h.after(a.Length/2, g.unblock)
 		}
-		h.takeOut(place, a.Length)
+		h.takeOut(dataCentre, a.Length)
 	case "cancel-job":
 		job := h.jobs[a.Target%len(h.jobs)]
-		if _, ok := h.try(0, briarspring.CancelJobs{Names: []string{job}}); ok {
+		if _, ok := h.submitAny(0, briarspring.CancelJobs{Names: []string{job}}); ok {
 			h.accepted[job] = false
 		}
 		h.accepted[job] = false
@@ -98,33 +98,33 @@
 			Name: fmt.Sprintf("urgent-%d", h.services), Team: "counter", Prefix: fmt.Sprintf("/urgent-%d/", h.services),
 			Resources: cpu(12), Executors: 1, Slots: 8, Connections: 64, Command: "time=5ms",
 		})
-		h.try(0, briarspring.PutService{Service: s})
+		h.submitAny(0, briarspring.PutService{Service: s})
 	}
 }
 
-func (h *history) changeLog(d time.Duration, begin, end func(*imitator.LogFaults)) {
+func (h *history) changeLog(d time.Duration, inject, remove func(*imitator.LogFaults)) {
 	apply := func(f func(*imitator.LogFaults)) {
 		faults := h.log.Faults()
 		f(&faults)
 		h.log.SetFaults(faults)
 	}
-	apply(begin)
-	h.later(d, func() { apply(end) })
+	apply(inject)
+	h.after(d, func() { apply(remove) })
 }
 
-func changeFleet(h *history, fleet *imitator.Fleet, d time.Duration, begin, end func(*imitator.FleetFaults)) {
+func changeFleet(h *history, fleet *imitator.Fleet, d time.Duration, inject, remove func(*imitator.FleetFaults)) {
 	apply := func(f func(*imitator.FleetFaults)) {
 		faults := fleet.Faults()
 		f(&faults)
 		fleet.SetFaults(faults)
 	}
-	apply(begin)
-	h.later(d, func() { apply(end) })
+	apply(inject)
+	h.after(d, func() { apply(remove) })
 }
 
-// killWorker ends a worker for good; operators declare it lost at the end.
-func (h *history) killWorker(place, name string) {
-	fleet := h.fleets[place]
+// killWorker removes a worker for good; healFaults declares it lost at the end.
+func (h *history) killWorker(dataCentre, name string) {
+	fleet := h.fleets[dataCentre]
 	if len(fleet.Names()) < 3 {
 		return
 	}
@@ -147,36 +147,36 @@
 		}
 		return 0
 	})
-	h.try(v, ledger(h.t, executors))
+	h.submitAny(v, ledger(h.t, executors))
 }
 
-func (h *history) dataCentreVersion(place string) uint64 {
+func (h *history) dataCentreVersion(dataCentre string) uint64 {
 	return h.version(func(conf *applier.Config) uint64 {
-		if d := conf.DataCentre(place); d != nil {
+		if d := conf.DataCentre(dataCentre); d != nil {
 			return d.Version()
 		}
 		return 0
 	})
 }
 
-func (h *history) takeOut(place string, d time.Duration) {
-	a, ok := h.try(h.dataCentreVersion(place), briarspring.TakeOut{DataCentre: place})
+func (h *history) takeOut(dataCentre string, d time.Duration) {
+	a, ok := h.submitAny(h.dataCentreVersion(dataCentre), briarspring.TakeOut{DataCentre: dataCentre})
 	if !ok || a.Err != nil {
 		return
 	}
 	out := span{from: time.Now()}
-	h.pause(d)
+	h.advance(d)
 	out.to = time.Now()
-	h.takenOut[place] = append(h.takenOut[place], out)
-	h.returnPlace(place)
+	h.takenOut[dataCentre] = append(h.takenOut[dataCentre], out)
+	h.returnToService(dataCentre)
 }
 
-func (h *history) returnPlace(place string) {
+func (h *history) returnToService(dataCentre string) {
 	for range 20 {
-		a, ok := h.try(h.dataCentreVersion(place), briarspring.Return{DataCentre: place})
+		a, ok := h.submitAny(h.dataCentreVersion(dataCentre), briarspring.Return{DataCentre: dataCentre})
 		if ok && a.Err == nil {
 			return
 		}
-		h.pause(time.Second)
+		h.advance(time.Second)
 	}
 }
--- a/scheduler/history_test.go
+++ b/scheduler/history_test.go
@@ -22,31 +22,31 @@
 	firstSeed = flag.Int("first-seed", 1, "seed of the first history")
 )
 
-// act is one thing that happens in a history.
-type act struct {
-	After  time.Duration // Since the act before.
+// action is one fault or operation of a history.
+type action struct {
+	After  time.Duration // Delay after the previous action.
 	Kind   string
-	Target int           // Chooses the process, worker or job.
-	Length time.Duration // Of a failure that ends by itself.
+	Target int           // Selects the process, worker or job.
+	Length time.Duration // Duration of a failure that ends by itself.
 }
 
-func (a act) String() string {
+func (a action) String() string {
 	return fmt.Sprintf("+%s %s %d for %s", a.After, a.Kind, a.Target, a.Length)
 }
 
-var actKinds = []string{
+var actionKinds = []string{
 	"kill-scheduler", "freeze-scheduler", "cut-log", "cut-workers", "stop-scheduler",
 	"log-outage", "log-slow", "lose-answers", "lose-worker-answers", "delay-calls",
 	"cut-worker", "kill-worker", "restart-worker", "leave-worker",
 	"take-out", "cut-place-take-out", "freeze-place-take-out", "delay-calls", "cancel-job", "create-job", "resize-service", "urgent-service",
 }
 
-// plans makes random histories of up to some acts.
-func plans() *rapid.Generator[[]act] {
-	one := rapid.Custom(func(t *rapid.T) act {
-		return act{
+// randomPlans generates random histories of 3 to 12 actions.
+func randomPlans() *rapid.Generator[[]action] {
+	one := rapid.Custom(func(t *rapid.T) action {
+		return action{
 			After:  time.Duration(rapid.IntRange(0, 6000).Draw(t, "after")) * time.Millisecond,
-			Kind:   rapid.SampledFrom(actKinds).Draw(t, "kind"),
+			Kind:   rapid.SampledFrom(actionKinds).Draw(t, "kind"),
 			Target: rapid.IntRange(0, 11).Draw(t, "target"),
 			Length: time.Duration(rapid.IntRange(100, 25000).Draw(t, "length")) * time.Millisecond,
 		}
@@ -57,14 +57,14 @@
 const historyShards = 16
 
 // TestHistories runs random histories of work, failures and crashes on two data
-// centres with two schedulers each, and checks the workers' own account.
-// More of them: go test ./scheduler -run TestHistories -histories 20000 -first-seed 5000.
+// centres with two schedulers each, and checks the journal that the workers wrote.
+// To run more: go test ./scheduler -run TestHistories -histories 20000 -first-seed 5000.
 func TestHistories(t *testing.T) {
 	for shard := range historyShards {
 		t.Run(fmt.Sprintf("shard %d", shard), func(t *testing.T) {
 			t.Parallel()
 			for seed := *firstSeed + shard; seed < *firstSeed+*histories; seed += historyShards {
-				plan := plans().Example(seed)
+				plan := randomPlans().Example(seed)
 				problems := runHistory(t, plan, false)
 				if len(problems) > 0 {
 					t.Errorf("seed %d: %s\n%s", seed, formatPlan(plan), strings.Join(problems, "\n"))
@@ -75,15 +75,15 @@
 	}
 }
 
-// TestHistory runs the history of -first-seed alone; with -v it is logged.
+// TestHistory runs only the history of -first-seed, and logs it with -v.
 func TestHistory(t *testing.T) {
-	plan := plans().Example(*firstSeed)
+	plan := randomPlans().Example(*firstSeed)
 	if problems := runHistory(t, plan, testing.Verbose()); len(problems) > 0 {
 		t.Errorf("seed %d: %s\n%s", *firstSeed, formatPlan(plan), strings.Join(problems, "\n"))
 	}
 }
 
-func formatPlan(plan []act) string {
+func formatPlan(plan []action) string {
 	var lines []string
 	for _, a := range plan {
 		lines = append(lines, a.String())
@@ -93,7 +93,7 @@
 
 // history is one run of a plan.
 type history struct {
-	*bench
+	*cluster
 	verbose  bool
 	gates    map[string]*gate
 	jobs     []string
@@ -105,66 +105,66 @@
 	dead     map[string]bool
 }
 
-// span is a time in which a data centre was out of service.
+// span is a period in which a data centre was out of service.
 type span struct{ from, to time.Time }
 
-func runHistory(t *testing.T, plan []act, verbose bool) (problems []string) {
+func runHistory(t *testing.T, plan []action, verbose bool) (problems []string) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &history{
-			bench:   newBench(t, imitator.LogConfig{AppendsPerSecond: 300, KeepRecords: 70}),
+			cluster: newCluster(t, imitator.LogConfig{AppendsPerSecond: 300, KeepRecords: 70}),
 			verbose: verbose, gates: map[string]*gate{}, accepted: map[string]bool{},
 			takenOut: map[string][]span{}, offsets: map[string]uint64{}, dead: map[string]bool{},
 		}
-		h.begin()
+		h.setUp()
 		for _, a := range plan {
-			h.pause(a.After)
+			h.advance(a.After)
 			if verbose {
 				t.Logf("%s %s", time.Now().Format("04:05.000"), a)
 			}
-			h.do(a)
+			h.perform(a)
 		}
-		h.heal()
-		h.settle()
+		h.healFaults()
+		h.waitForJobs()
 		h.check()
 		problems = h.problems
 	})
 	return problems
 }
 
-var historyPlaces = []string{"tartu", "voru"}
+var historyDataCentres = []string{"tartu", "voru"}
 
 func (h *history) schedulerNames() []string {
 	return []string{"tartu-s0", "tartu-s1", "voru-s0", "voru-s1"}
 }
 
-func (h *history) schedulersOf(place string) []string {
-	return []string{place + "-s0", place + "-s1"}
+func (h *history) schedulersOf(dataCentre string) []string {
+	return []string{dataCentre + "-s0", dataCentre + "-s1"}
 }
 
-func placeOf(name string) string {
-	place, _, _ := strings.Cut(name, "-")
-	return place
+func dataCentreOf(name string) string {
+	dataCentre, _, _ := strings.Cut(name, "-")
+	return dataCentre
 }
 
-func (h *history) begin() {
-	for _, place := range historyPlaces {
-		h.addWorkers(place, 3)
+func (h *history) setUp() {
+	for _, dataCentre := range historyDataCentres {
+		h.addWorkers(dataCentre, 3)
 	}
 	for _, name := range h.schedulerNames() {
-		h.run(name)
+		h.startScheduler(name)
 	}
-	h.pause(3 * time.Second)
-	h.try(0, ledger(h.t, 4))
+	h.advance(3 * time.Second)
+	h.submitAny(0, ledger(h.t, 4))
 	h.createJob(6)
 	h.createJob(10)
 }
 
-// run starts a scheduler behind a gate.
-func (h *history) run(name string) {
-	place := placeOf(name)
-	g := &gate{log: h.log.Client(name), workers: h.fleets[place].Client(name), hosts: h.hosts}
+// startScheduler starts a scheduler behind a gate.
+func (h *history) startScheduler(name string) {
+	dataCentre := dataCentreOf(name)
+	g := &gate{log: h.log.Client(name), workers: h.fleets[dataCentre].Client(name), hosts: h.hosts}
 	h.gates[name] = g
-	h.bench.start(place, name, func(c *scheduler.Config) {
+	h.cluster.start(dataCentre, name, func(c *scheduler.Config) {
 		c.Log, c.Workers, c.Hosts = g, g, g
 		c.SnapshotRecords = 20
 		c.OutageLease = 20 * time.Second
@@ -174,13 +174,14 @@
 	})
 }
 
-// pause lets virtual time pass while it watches what must never go back.
-func (h *history) pause(d time.Duration) {
+// advance lets virtual time pass and checks that no scheduler's configuration
+// goes back to an older offset.
+func (h *history) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(min(500*time.Millisecond, time.Until(end)))
 		for _, name := range h.schedulerNames() {
 			if !h.schedulers[name].Ready() {
-				continue // A process that was just started tells nobody its state.
+				continue // A process shows its state only once it has read the log to its end.
 			}
 			h.schedulers[name].View(func(conf *applier.Config, _ *applier.Placement) {
 				if conf.Applied() < h.offsets[name] {
@@ -196,9 +197,9 @@
 	h.problems = append(h.problems, fmt.Sprintf(format, args...))
 }
 
-// try submits a change through the schedulers in turn until one answers, under
-// one request id.
-func (h *history) try(expected uint64, change briarspring.Change) (applier.Answer, bool) {
+// submitAny submits a change through the schedulers in turn until one answers,
+// with the same request id.
+func (h *history) submitAny(expected uint64, change briarspring.Change) (applier.Answer, bool) {
 	h.requests++
 	id := fmt.Sprintf("request-%d", h.requests)
 	for _, name := range h.schedulerNames() {
@@ -215,45 +216,46 @@
 func (h *history) createJob(tasks uint32) {
 	name := fmt.Sprintf("job-%d", len(h.jobs))
 	h.jobs = append(h.jobs, name)
-	a, ok := h.try(0, archive(h.t, name, tasks, "index time=3s"))
+	a, ok := h.submitAny(0, archive(h.t, name, tasks, "index time=3s"))
 	h.accepted[name] = ok && a.Err == nil
 }
 
-// later undoes a failure after a time.
-func (h *history) later(d time.Duration, f func()) { time.AfterFunc(d, f) }
+// after calls f after a delay, to end a failure.
+func (h *history) after(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
-// heal ends all failures.
-func (h *history) heal() {
+// healFaults ends all failures, returns the data centres to service and declares
+// dead workers lost.
+func (h *history) healFaults() {
 	for _, g := range h.gates {
-		g.open()
+		g.unblock()
 	}
 	h.log.SetFaults(imitator.LogFaults{Latency: 5 * time.Millisecond})
 	for _, f := range h.fleets {
 		f.SetFaults(imitator.FleetFaults{})
 	}
-	h.pause(30 * time.Second)
+	h.advance(30 * time.Second)
 	h.log.SetFaults(imitator.LogFaults{Latency: 5 * time.Millisecond})
 	for _, f := range h.fleets {
 		f.SetFaults(imitator.FleetFaults{})
 	}
-	for _, place := range historyPlaces {
-		h.returnPlace(place)
+	for _, dataCentre := range historyDataCentres {
+		h.returnToService(dataCentre)
 	}
 	for name := range h.dead {
-		h.try(0, briarspring.DeclareLost{Worker: name})
+		h.submitAny(0, briarspring.DeclareLost{Worker: name})
 	}
 }
 
-const settleLimit = 3 * time.Minute
+const jobsLimit = 3 * time.Minute
 
-// settle waits until every accepted job that was not cancelled has finished.
-func (h *history) settle() {
-	for begin := time.Now(); time.Since(begin) < settleLimit; {
+// waitForJobs waits until every accepted job that was not cancelled has finished.
+func (h *history) waitForJobs() {
+	for begin := time.Now(); time.Since(begin) < jobsLimit; {
 		if len(h.unfinished()) == 0 {
-			h.pause(3 * time.Second)
+			h.advance(3 * time.Second)
 			return
 		}
-		h.pause(time.Second)
+		h.advance(time.Second)
 	}
 	h.problem("jobs have not finished: %s", strings.Join(h.unfinished(), ", "))
 }
@@ -268,7 +270,7 @@
 			w := conf.Job(name)
 			switch {
 			case w == nil:
-				out = append(out, name+" is not there")
+				out = append(out, name+" is missing")
 			case !w.Finished():
 				out = append(out, fmt.Sprintf("%s %+v %+v", name, w.Totals(), w.Shares()))
 			}
@@ -277,13 +279,13 @@
 	return out
 }
 
-// check looks at the workers' account and compares the schedulers' states.
+// check checks the workers' journal and compares the schedulers' states.
 func (h *history) check() {
 	c := newJournalChecker()
 	for _, e := range h.journal.Entries() {
-		c.take(e)
+		c.check(e)
 		if e.Kind == imitator.JournalStart {
-			h.checkOut(e)
+			h.checkOutOfService(e)
 		}
 	}
 	h.problems = append(h.problems, c.problems...)
@@ -299,8 +301,8 @@
 
 const drainBound = 3 * time.Second
 
-func (h *history) checkOut(e imitator.JournalEntry) {
-	for _, s := range h.takenOut[placeOf(e.Worker)] {
+func (h *history) checkOutOfService(e imitator.JournalEntry) {
+	for _, s := range h.takenOut[dataCentreOf(e.Worker)] {
 		if e.Time.After(s.from.Add(drainBound)) && e.Time.Before(s.to) {
 			h.problem("%s started on %s %s after its data centre was out", e.Attempt, e.Worker, e.Time.Sub(s.from))
 		}
@@ -330,7 +332,7 @@
 func (h *history) compare(a, b string, placement bool) {
 	streams := []string{briarspring.ConfigStream}
 	if placement {
-		streams = append(streams, briarspring.PlacementStream(placeOf(a)))
+		streams = append(streams, briarspring.PlacementStream(dataCentreOf(a)))
 	}
 	for _, stream := range streams {
 		offsetA, dataA, errA := h.schedulers[a].Snapshot(stream)
--- a/scheduler/hosts.go
+++ b/scheduler/hosts.go
@@ -11,40 +11,40 @@
 
 const hostsCallTimeout = 2 * time.Second
 
-// pollHosts follows the platform's list of hosts until the context ends.
+// pollHosts polls the platform's list of hosts until the context ends.
 func (s *Scheduler) pollHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, hostsCallTimeout)
 		hosts, err := s.config.Hosts.Hosts(callCtx, s.config.DataCentre)
 		cancel()
-		s.locked(func() { s.takeHosts(hosts, err) })
+		s.locked(func() { s.updateHosts(hosts, err) })
 		_ = sleeper.For(ctx, s.config.HostsInterval)
 	}
 }
 
-// takeHosts keeps the list. A host that vanished from it stays known while its
-// worker may still run tasks.
-func (s *Scheduler) takeHosts(hosts []briarspring.Host, err error) {
+// updateHosts applies a new list of hosts. A host missing from it is kept while
+// its worker may still run tasks.
+func (s *Scheduler) updateHosts(hosts []briarspring.Host, err error) {
 	if err != nil {
-		if !s.hostsErr {
+		if !s.hostsFailing {
 			s.logger.Warn("list of hosts can't be read", "error", err)
 		}
-		s.hostsErr = true
+		s.hostsFailing = true
 		return
 	}
-	s.hostsErr = false
+	s.hostsFailing = false
 	listed := map[string]bool{}
 	for _, h := range hosts {
 		listed[h.Name] = true
-		s.putHost(h)
+		s.updateHost(h)
 	}
-	for _, w := range s.place.Workers() {
+	for _, w := range s.placement.Workers() {
 		if !w.Gone() && s.agents[w.Name()] == nil {
-			s.putHost(briarspring.Host{Name: w.Name(), DataCentre: s.config.DataCentre, Rack: w.Rack()})
+			s.updateHost(briarspring.Host{Name: w.Name(), DataCentre: s.config.DataCentre, Rack: w.Rack()})
 		}
 	}
 	for name, a := range s.agents {
-		w := s.place.WorkerByName(name)
+		w := s.placement.WorkerByName(name)
 		if listed[name] || w != nil && !w.Gone() {
 			continue
 		}
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *Scheduler) putHost(h briarspring.Host) {
+func (s *Scheduler) updateHost(h briarspring.Host) {
 	a := s.agents[h.Name]
 	if a == nil {
 		s.agents[h.Name] = newAgent(h)
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -10,37 +10,37 @@
 	"briarspring/imitator"
 )
 
-// checkJournal checks the workers' own account.
+// checkJournal checks the journal that the workers wrote.
 func checkJournal(t *testing.T, entries []imitator.JournalEntry) {
 	t.Helper()
 	c := newJournalChecker()
 	for _, e := range entries {
-		c.take(e)
+		c.check(e)
 	}
 	assert.Empty(t, c.problems)
 }
 
-// journalChecker checks with nothing taken from the scheduler: no worker is
-// overcommitted, no task runs in two places at once or again after it was done,
-// and an evicted task resumes once, from its last checkpoint.
+// journalChecker checks the workers' journal without any state of the scheduler:
+// no worker is overcommitted, no task runs in two places at once or again after
+// it was done, and an evicted task resumes once, from its last checkpoint.
 type journalChecker struct {
 	committed map[string]briarspring.Resources
 	running   map[briarspring.TaskID]imitator.JournalEntry
 	done      map[briarspring.TaskID]bool
-	doneOn    map[briarspring.TaskID]string // Worker, until its lease has ended.
-	saved     map[briarspring.TaskID]saved
+	doneOn    map[briarspring.TaskID]string // Worker it was done on, until that worker's lease ends.
+	saved     map[briarspring.TaskID]savedCheckpoint
 	started   map[briarspring.AttemptID]bool
 	problems  []string
 }
 
-// saved is the checkpoint that a task must resume from. When the lease of the
-// worker that made it has ended since, the worker may have died before anybody
-// heard of it, and the one before is right too.
-type saved struct {
+// savedCheckpoint is the checkpoint that a task must resume from. If the lease of
+// the worker that made it has ended since, the worker may have died before it
+// reported the checkpoint, and the previous one is allowed too.
+type savedCheckpoint struct {
 	checkpoint uint64
-	before     uint64
+	previous   uint64
 	worker     string
-	unheard    bool
+	unreported bool
 }
 
 func newJournalChecker() *journalChecker {
@@ -49,7 +49,7 @@
 		running:   map[briarspring.TaskID]imitator.JournalEntry{},
 		done:      map[briarspring.TaskID]bool{},
 		doneOn:    map[briarspring.TaskID]string{},
-		saved:     map[briarspring.TaskID]saved{},
+		saved:     map[briarspring.TaskID]savedCheckpoint{},
 		started:   map[briarspring.AttemptID]bool{},
 	}
 }
@@ -58,13 +58,13 @@
 	c.problems = append(c.problems, fmt.Sprintf(format, args...))
 }
 
-func (c *journalChecker) take(e imitator.JournalEntry) {
+func (c *journalChecker) check(e imitator.JournalEntry) {
 	if e.Kind == imitator.JournalLeaseEnd {
-		c.takeLeaseEnd(e.Worker)
+		c.handleLeaseEnd(e.Worker)
 		return
 	}
 	if e.Kind == imitator.JournalStart {
-		c.takeStart(e)
+		c.checkStart(e)
 		return
 	}
 	task := e.Attempt.Task
@@ -77,14 +77,14 @@
 		c.done[task] = true
 		c.doneOn[task] = e.Worker
 	case imitator.JournalCheckpoint:
-		c.saved[task] = saved{checkpoint: e.Saved, before: e.Checkpoint, worker: e.Worker}
+		c.saved[task] = savedCheckpoint{checkpoint: e.Saved, previous: e.Checkpoint, worker: e.Worker}
 	}
 }
 
-// takeLeaseEnd notes that nobody may have heard what ended on a worker: with its
-// lease over, a task that is done cannot be told from one that was lost, and
+// handleLeaseEnd marks the ends on a worker as possibly unreported. Once its lease
+// has ended, a task that is done can't be distinguished from a lost one, and
 // another attempt is allowed.
-func (c *journalChecker) takeLeaseEnd(worker string) {
+func (c *journalChecker) handleLeaseEnd(worker string) {
 	for task, on := range c.doneOn {
 		if on == worker {
 			delete(c.doneOn, task)
@@ -92,13 +92,13 @@
 	}
 	for task, s := range c.saved {
 		if s.worker == worker {
-			s.unheard = true
+			s.unreported = true
 			c.saved[task] = s
 		}
 	}
 }
 
-func (c *journalChecker) takeStart(e imitator.JournalEntry) {
+func (c *journalChecker) checkStart(e imitator.JournalEntry) {
 	task := e.Attempt.Task
 	c.committed[e.Worker] = c.committed[e.Worker].Add(e.Resources)
 	if !c.committed[e.Worker].Fits(e.Capacity) {
@@ -113,10 +113,10 @@
 	if c.started[e.Attempt] {
 		c.problem("%s: %s started twice", e.Time, e.Attempt)
 	}
-	if s := c.saved[task]; s.checkpoint != e.Checkpoint && !(s.unheard && s.before == e.Checkpoint) {
+	if s := c.saved[task]; s.checkpoint != e.Checkpoint && !(s.unreported && s.previous == e.Checkpoint) {
 		c.problem("%s: %s resumes from %d, not from its last checkpoint %d", e.Time, e.Attempt, e.Checkpoint, s.checkpoint)
 	}
-	c.saved[task] = saved{checkpoint: e.Checkpoint, before: e.Checkpoint}
+	c.saved[task] = savedCheckpoint{checkpoint: e.Checkpoint, previous: e.Checkpoint}
 	c.started[e.Attempt] = true
 	c.running[task] = e
 }
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Metrics are a scheduler's numbers for operators.
+// Metrics holds the metrics of a scheduler that operators see.
 type Metrics struct {
 	DataCentre         string  `json:"data-centre"`
 	Owner              bool    `json:"owner"`
@@ -27,21 +27,21 @@
 	RoundSeconds       float64 `json:"round-seconds"`
 }
 
-// Metrics returns the scheduler's numbers.
+// Metrics returns the scheduler's current metrics.
 func (s *Scheduler) Metrics() Metrics {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := s.place.Counts()
+	counts := s.placement.Counts()
 	m := Metrics{
-		DataCentre: s.config.DataCentre, Owner: s.owns(), OwnerName: s.place.Owner().Name, Epoch: s.place.Epoch(),
-		ConfigOffset: s.conf.Applied(), PlacementOffset: s.place.Applied(),
-		ConfigAgeSeconds: time.Since(s.confRead).Seconds(),
+		DataCentre: s.config.DataCentre, Owner: s.owns(), OwnerName: s.placement.Owner().Name, Epoch: s.placement.Epoch(),
+		ConfigOffset: s.conf.Applied(), PlacementOffset: s.placement.Applied(),
+		ConfigAgeSeconds: time.Since(s.configReadAt).Seconds(),
 		Starts:           counts.Starts, Ends: counts.Ends, Evictions: counts.Evictions, VoidEvents: counts.Void,
 		Batches: s.counters.Batches, Events: s.counters.Events,
 		Exchanges: s.counters.Exchanges, ExchangeErrors: s.counters.ExchangeErrors,
 		Rounds: s.counters.Rounds, RoundSeconds: s.counters.RoundTime.Seconds(),
 	}
-	for _, w := range s.place.Workers() {
+	for _, w := range s.placement.Workers() {
 		if w.Gone() {
 			continue
 		}
@@ -50,8 +50,8 @@
 			m.WorkersUnreachable++
 		}
 	}
-	for _, id := range s.place.Loads() {
-		l := s.place.Load(id)
+	for _, id := range s.placement.Loads() {
+		l := s.placement.Load(id)
 		m.TasksPlaced += l.Placed()
 		m.TasksWaiting += l.Waiting()
 	}
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -8,72 +8,73 @@
 )
 
 const (
-	// quarantineFailures in a row, of more than one workload, keep a worker
-	// from further tasks.
-	quarantineFailures  = 3
-	quarantineWorkloads = 2
-	firstQuarantine     = 30 * time.Second
-	longestQuarantine   = 10 * time.Minute
-	firstBackoff        = time.Second
-	longestBackoff      = time.Minute
+	// A worker with this many failures in a row, of this many workloads, is
+	// quarantined.
+	minFailures        = 3
+	minFailedWorkloads = 2
+	firstQuarantine    = 30 * time.Second
+	longestQuarantine  = 10 * time.Minute
+	firstBackoff       = time.Second
+	longestBackoff     = time.Minute
 )
 
-// quarantine knows which workers fail everything and which tasks must wait.
+// quarantine tracks the workers that fail every task and the backoff of failed
+// tasks.
 type quarantine struct {
-	workers   map[uint32]*suspect
+	workers   map[uint32]*failingWorker
 	notBefore map[briarspring.TaskID]time.Time
-	avoid     map[briarspring.TaskID]uint32 // Worker that a task failed on last.
+	avoid     map[briarspring.TaskID]uint32 // Worker that the task last failed on.
 }
 
-type suspect struct {
-	failures  int
-	workloads map[briarspring.WorkloadID]struct{}
-	until     time.Time
-	length    time.Duration
-	probing   bool
+type failingWorker struct {
+	failures     int
+	workloads    map[briarspring.WorkloadID]struct{}
+	until        time.Time
+	nextDuration time.Duration
+	probing      bool
 }
 
 func (q *quarantine) init() {
-	q.workers = map[uint32]*suspect{}
+	q.workers = map[uint32]*failingWorker{}
 	q.notBefore = map[briarspring.TaskID]time.Time{}
 	q.avoid = map[briarspring.TaskID]uint32{}
 }
 
-// failed notes that an attempt failed by itself on a worker.
+// failed records that an attempt ran on a worker and failed.
 func (q *quarantine) failed(worker uint32, id briarspring.TaskID, failures uint32, now time.Time) {
 	backoff := min(firstBackoff<<min(failures, 6), longestBackoff)
 	q.notBefore[id] = now.Add(backoff)
 	q.avoid[id] = worker
 	w := q.workers[worker]
 	if w == nil {
-		w = &suspect{workloads: map[briarspring.WorkloadID]struct{}{}, length: firstQuarantine}
+		w = &failingWorker{workloads: map[briarspring.WorkloadID]struct{}{}, nextDuration: firstQuarantine}
 		q.workers[worker] = w
 	}
 	w.failures++
 	w.workloads[id.Workload] = struct{}{}
-	if w.probing || w.failures >= quarantineFailures && len(w.workloads) >= quarantineWorkloads {
-		w.until = now.Add(w.length)
-		w.length = min(2*w.length, longestQuarantine)
+	if w.probing || w.failures >= minFailures && len(w.workloads) >= minFailedWorkloads {
+		w.until = now.Add(w.nextDuration)
+		w.nextDuration = min(2*w.nextDuration, longestQuarantine)
 		w.probing = true
 	}
 }
 
-// succeeded notes that an attempt on a worker ended well.
+// succeeded records that an attempt on a worker succeeded.
 func (q *quarantine) succeeded(worker uint32, id briarspring.TaskID) {
 	delete(q.workers, worker)
 	delete(q.notBefore, id)
 	delete(q.avoid, id)
 }
 
-// suspects reports whether a failure on the worker is the worker's fault.
-func (q *quarantine) suspects(worker uint32) bool {
+// isSuspect reports whether failures on the worker are taken for its own fault.
+func (q *quarantine) isSuspect(worker uint32) bool {
 	w := q.workers[worker]
 	return w != nil && w.probing
 }
 
-// closed reports whether a worker takes no task now. After its quarantine it
-// takes one at a time.
-func (q *quarantine) closed(worker uint32, open int, now time.Time) bool {
+// unavailable reports whether a worker can't take a task now. After its
+// quarantine it takes one at a time, until one succeeds.
+func (q *quarantine) unavailable(worker uint32, open int, now time.Time) bool {
 	w := q.workers[worker]
 	if w == nil || !w.probing {
 		return false
@@ -81,13 +82,13 @@
 	return now.Before(w.until) || open > 0
 }
 
-// waits reports whether a task must not start yet.
-func (q *quarantine) waits(id briarspring.TaskID, now time.Time) bool {
+// inBackoff reports whether a failed task must not start again yet.
+func (q *quarantine) inBackoff(id briarspring.TaskID, now time.Time) bool {
 	at, ok := q.notBefore[id]
 	return ok && now.Before(at)
 }
 
-// forget drops what is known of the tasks of a workload that has ended.
+// forget removes the entries for the tasks of a workload that has ended.
 func (q *quarantine) forget(workload briarspring.WorkloadID) {
 	ended := func(id briarspring.TaskID) bool { return id.Workload == workload }
 	maps.DeleteFunc(q.notBefore, func(id briarspring.TaskID, _ time.Time) bool { return ended(id) })
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -9,8 +9,8 @@
 	"briarspring/placer"
 )
 
-// queue orders the waiting tasks of one round: executors first, then batch
-// tasks by the share that their team and job hold already.
+// queue orders the waiting tasks of one round: executors first, then batch tasks
+// by the processors that their team and job use already (weighted fair share).
 type queue struct {
 	scheduler *Scheduler
 	now       time.Time
@@ -22,25 +22,25 @@
 type teamQueue struct {
 	name  string
 	used  briarspring.Resources
-	quota *briarspring.Resources // Of this data centre; nil for no bound.
+	quota *briarspring.Resources // Its part for this data centre; nil if unlimited.
 	jobs  []*jobQueue
 }
 
 // jobQueue holds the waiting tasks of one job.
 type jobQueue struct {
-	load    *applier.Load
-	job     *briarspring.Job
-	waiting []briarspring.TaskState
-	held    int64 // Processors that its open attempts hold.
-	probe   bool  // The first task may start where it is expected to slow services.
-	blocked bool
+	load         *applier.Load
+	job          *briarspring.Job
+	waiting      []briarspring.TaskState
+	heldMilliCPU int64 // Processors committed to its open attempts.
+	probe        bool  // The first task may start despite the slowdown expected for services.
+	blocked      bool
 }
 
 func (s *Scheduler) newQueue(now time.Time) *queue {
 	q := &queue{scheduler: s, now: now}
 	teams := map[string]*teamQueue{}
-	for _, id := range s.place.Loads() {
-		l := s.place.Load(id)
+	for _, id := range s.placement.Loads() {
+		l := s.placement.Load(id)
 		c := s.conf.Workload(id)
 		if c == nil || c.Cancelled() || c.Finished() {
 			continue
@@ -60,8 +60,8 @@
 		t.used = t.used.Add(l.Resources().Times(int64(l.Placed())))
 		if l.Waiting() > 0 {
 			t.jobs = append(t.jobs, &jobQueue{
-				load: l, job: c.Job(), held: l.Resources().MilliCPU() * int64(l.Placed()),
-				probe: s.waiting.starves(id, now, l.Placed()),
+				load: l, job: c.Job(), heldMilliCPU: l.Resources().MilliCPU() * int64(l.Placed()),
+				probe: s.waiting.mayProbe(id, now, l.Placed()),
 			})
 		}
 	}
@@ -89,13 +89,13 @@
 	if all == 0 {
 		return &briarspring.Resources{}
 	}
-	whole := v.Quota.Resources()
-	part := briarspring.NewResources(briarspring.ResourcesConfig{
-		MilliCPU:     whole.MilliCPU() * own / all,
-		MemoryMiB:    whole.MemoryMiB() * own / all,
-		Accelerators: whole.Accelerators() * own / all,
+	total := v.Quota.Resources()
+	local := briarspring.NewResources(briarspring.ResourcesConfig{
+		MilliCPU:     total.MilliCPU() * own / all,
+		MemoryMiB:    total.MemoryMiB() * own / all,
+		Accelerators: total.Accelerators() * own / all,
 	})
-	return &part
+	return &local
 }
 
 func (q *queue) empty() bool {
@@ -110,29 +110,29 @@
 	return true
 }
 
-// run decides on the waiting tasks until nothing more can start.
-func (q *queue) run(round *placer.Round) {
+// placeAll places the waiting tasks until nothing more can start.
+func (q *queue) placeAll(round *placer.Round) {
 	starts := 0
 	for _, l := range q.services {
-		starts += q.runService(round, l)
+		starts += q.placeExecutors(round, l)
 	}
 	for starts < maxRoundStarts {
-		t, j := q.next()
+		t, j := q.nextJob()
 		if j == nil {
 			return
 		}
-		if q.runJob(round, t, j) {
+		if q.placeJobTask(round, t, j) {
 			starts++
 		}
 	}
 }
 
-func (q *queue) runService(round *placer.Round, l *applier.Load) int {
+func (q *queue) placeExecutors(round *placer.Round, l *applier.Load) int {
 	starts := 0
 	c := q.scheduler.conf.Workload(l.ID())
 	for _, state := range l.NextWaiting(maxRoundStarts) {
 		id := briarspring.TaskID{Workload: l.ID(), Index: state.Index}
-		if _, moves := q.scheduler.moves[id]; moves || q.scheduler.quarantine.waits(id, q.now) {
+		if _, moves := q.scheduler.pendingMoves[id]; moves || q.scheduler.quarantine.inBackoff(id, q.now) {
 			continue
 		}
 		if round.Place(placer.Task{
@@ -144,30 +144,30 @@
 	return starts
 }
 
-// next returns the job whose turn it is: of the team that holds least, the one
-// that holds least for its weight.
-func (q *queue) next() (*teamQueue, *jobQueue) {
+// nextJob returns the job to place next: in the team that uses the fewest
+// processors, the job that uses the fewest for its weight.
+func (q *queue) nextJob() (*teamQueue, *jobQueue) {
 	var team *teamQueue
 	var job *jobQueue
 	for _, t := range q.teams {
 		if team != nil && t.used.MilliCPU() >= team.used.MilliCPU() {
 			continue
 		}
-		if j := t.next(); j != nil {
+		if j := t.nextJob(); j != nil {
 			team, job = t, j
 		}
 	}
 	return team, job
 }
 
-func (t *teamQueue) next() *jobQueue {
+func (t *teamQueue) nextJob() *jobQueue {
 	var best *jobQueue
 	var lowest float64
 	for _, j := range t.jobs {
 		if j.blocked {
 			continue
 		}
-		share := float64(j.held+j.load.Resources().MilliCPU()) / float64(j.job.Weight())
+		share := float64(j.heldMilliCPU+j.load.Resources().MilliCPU()) / float64(j.job.Weight())
 		if best == nil || share < lowest {
 			best, lowest = j, share
 		}
@@ -175,10 +175,10 @@
 	return best
 }
 
-// runJob decides on one task of a job and reports whether it starts.
-func (q *queue) runJob(round *placer.Round, t *teamQueue, j *jobQueue) bool {
+// placeJobTask places one task of a job and reports whether it starts.
+func (q *queue) placeJobTask(round *placer.Round, t *teamQueue, j *jobQueue) bool {
 	if j.waiting == nil {
-		j.waiting = q.ready(j.load)
+		j.waiting = q.readyTasks(j.load)
 	}
 	if len(j.waiting) == 0 {
 		j.blocked = true
@@ -187,7 +187,7 @@
 	need := j.load.Resources()
 	if t.quota != nil && !t.used.Add(need).Fits(*t.quota) {
 		j.blocked = true
-		q.scheduler.waiting.note(j.load.ID(), fmt.Sprintf("team %s holds %s of its quota %s here", t.name, t.used, *t.quota))
+		q.scheduler.waiting.record(j.load.ID(), fmt.Sprintf("team %s holds %s of its quota %s here", t.name, t.used, *t.quota))
 		return false
 	}
 	task := placer.Task{
@@ -201,16 +201,16 @@
 	}
 	j.probe = false
 	j.waiting = j.waiting[1:]
-	j.held += need.MilliCPU()
+	j.heldMilliCPU += need.MilliCPU()
 	t.used = t.used.Add(need)
 	return true
 }
 
-// ready returns the waiting tasks of a job that need not wait after a failure.
-func (q *queue) ready(l *applier.Load) []briarspring.TaskState {
+// readyTasks returns the waiting tasks of a job that are not in backoff.
+func (q *queue) readyTasks(l *applier.Load) []briarspring.TaskState {
 	out := []briarspring.TaskState{}
 	for _, state := range l.NextWaiting(maxRoundStarts) {
-		if !q.scheduler.quarantine.waits(briarspring.TaskID{Workload: l.ID(), Index: state.Index}, q.now) {
+		if !q.scheduler.quarantine.inBackoff(briarspring.TaskID{Workload: l.ID(), Index: state.Index}, q.now) {
 			out = append(out, state)
 		}
 	}
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// releaseTasks bounds the tasks that one transfer gives away.
-	releaseTasks = 1000
+	// maxReleaseTasks limits the tasks in one release.
+	maxReleaseTasks = 1000
 )
 
-// reconciler compares what the configuration assigns to this data centre with
-// what the placement stream holds.
+// reconciler holds the workloads for which the placement stream may differ from
+// what the configuration assigns to this data centre.
 type reconciler struct {
 	pending map[briarspring.WorkloadID]struct{}
 }
 
 func (r *reconciler) init() { r.pending = map[briarspring.WorkloadID]struct{}{} }
 
-// reconcileEvents returns the events that bring the placement stream in line
-// with the configuration.
+// reconcileEvents returns the events that make the placement stream match the
+// configuration.
 func (s *Scheduler) reconcileEvents() []briarspring.Event {
 	for _, id := range s.conf.TakeDirty() {
 		s.reconciler.pending[id] = struct{}{}
@@ -31,7 +31,7 @@
 	var events []briarspring.Event
 	for _, id := range slices.Sorted(maps.Keys(s.reconciler.pending)) {
 		more := s.reconcile(id)
-		if len(more) == 0 && s.settled(id) {
+		if len(more) == 0 && s.inSync(id) {
 			delete(s.reconciler.pending, id)
 		}
 		events = append(events, more...)
@@ -39,10 +39,10 @@
 	return events
 }
 
-// settled reports whether a workload without events needs no further look
-// until the configuration changes.
-func (s *Scheduler) settled(id briarspring.WorkloadID) bool {
-	l := s.place.Load(id)
+// inSync reports whether a workload that needs no events now needs none until
+// the configuration changes.
+func (s *Scheduler) inSync(id briarspring.WorkloadID) bool {
+	l := s.placement.Load(id)
 	if l == nil {
 		return true
 	}
@@ -50,15 +50,15 @@
 	return w != nil && !w.Cancelled() && !w.Finished() && s.conf.Applied() >= l.Offset()
 }
 
-// reconcile returns the events for one workload; none when it is in line.
+// reconcile returns the events for one workload, or none if it matches.
 func (s *Scheduler) reconcile(id briarspring.WorkloadID) []briarspring.Event {
-	l := s.place.Load(id)
+	l := s.placement.Load(id)
 	w := s.conf.Workload(id)
 	if l != nil && s.conf.Applied() < l.Offset() {
 		return nil
 	}
 	if w == nil || w.Cancelled() || w.Finished() {
-		return s.retire(id, l)
+		return s.retireEvents(id, l)
 	}
 	if events := s.adoptEvents(w, l); len(events) > 0 {
 		return events
@@ -66,18 +66,18 @@
 	if l == nil {
 		return nil
 	}
-	return s.cancelStrays(w, l)
+	return s.cancelUnassigned(w, l)
 }
 
-// retire ends what is left of a workload that is over.
-func (s *Scheduler) retire(id briarspring.WorkloadID, l *applier.Load) []briarspring.Event {
+// retireEvents cancels the remaining tasks of a finished workload, then removes it.
+func (s *Scheduler) retireEvents(id briarspring.WorkloadID, l *applier.Load) []briarspring.Event {
 	if l == nil {
 		return nil
 	}
 	if l.Waiting() > 0 || s.hasUncancelled(l) {
 		return []briarspring.Event{briarspring.Cancel{Workload: id, First: 0, End: math.MaxUint32}}
 	}
-	if l.Placed() > 0 || s.summary.owes(l) {
+	if l.Placed() > 0 || s.summary.unpublished(l) {
 		return nil
 	}
 	return []briarspring.Event{briarspring.Forget{Workload: id, Seen: s.conf.Applied()}}
@@ -92,8 +92,9 @@
 	return false
 }
 
-// adoptEvents returns an event for each share that was not adopted yet, in
-// order of offset, since a later adoption voids earlier ones.
+// adoptEvents returns the event that adopts the earliest share not adopted yet.
+// Shares are adopted in order of offset, since a later adoption voids earlier
+// ones.
 func (s *Scheduler) adoptEvents(w *applier.Workload, l *applier.Load) []briarspring.Event {
 	var adopted uint64
 	if l != nil {
@@ -108,11 +109,11 @@
 	if lowest == math.MaxUint64 {
 		return nil
 	}
-	return []briarspring.Event{s.adopt(w, lowest)}
+	return []briarspring.Event{s.adoptEvent(w, lowest)}
 }
 
-// adopt merges all shares that one record assigned.
-func (s *Scheduler) adopt(w *applier.Workload, offset uint64) briarspring.Event {
+// adoptEvent returns the event that adopts all shares assigned by one record.
+func (s *Scheduler) adoptEvent(w *applier.Workload, offset uint64) briarspring.Event {
 	e := briarspring.Adopt{
 		Workload: w.ID(), Offset: offset, Resources: w.Resources(), Service: w.Service() != nil, Seen: s.conf.Applied(),
 	}
@@ -135,32 +136,32 @@
 	return e
 }
 
-// cancelStrays ends the tasks that are held here though the configuration
-// assigns them elsewhere or nowhere.
-func (s *Scheduler) cancelStrays(w *applier.Workload, l *applier.Load) []briarspring.Event {
+// cancelUnassigned cancels the tasks held here that the configuration does not
+// assign to this data centre.
+func (s *Scheduler) cancelUnassigned(w *applier.Workload, l *applier.Load) []briarspring.Event {
 	holding := w.Holds(s.config.DataCentre)
-	var strays []uint32
+	var unassigned []uint32
 	for _, t := range l.Tasks() {
 		if _, held := holding.Has(t.Index()); !held && !t.Cancelled() && t.Phase() != applier.PhaseFailed {
-			strays = append(strays, t.Index())
+			unassigned = append(unassigned, t.Index())
 		}
 	}
 	for _, span := range l.Fresh() {
 		for i := span.First; i < span.End; i++ {
 			if _, held := holding.Has(i); !held {
-				strays = append(strays, i)
+				unassigned = append(unassigned, i)
 			}
 		}
 	}
 	var events []briarspring.Event
-	for _, span := range joinIndexes(strays) {
+	for _, span := range joinSpans(unassigned) {
 		events = append(events, briarspring.Cancel{Workload: w.ID(), First: span.First, End: span.End})
 	}
 	return events
 }
 
-// joinIndexes returns the indexes as half-open ranges.
-func joinIndexes(indexes []uint32) []applier.Span {
+// joinSpans merges indexes into half-open ranges.
+func joinSpans(indexes []uint32) []applier.Span {
 	slices.Sort(indexes)
 	var out []applier.Span
 	for _, i := range indexes {
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -7,7 +7,7 @@
 	"briarspring/applier"
 )
 
-// reportEvents returns the events that the workers' reports call for.
+// reportEvents returns the events that follow from the workers' reports.
 func (s *Scheduler) reportEvents(now time.Time) []briarspring.Event {
 	var events []briarspring.Event
 	for _, name := range s.agentNames() {
@@ -15,12 +15,12 @@
 		if a.cancel == nil {
 			continue
 		}
-		w := s.place.WorkerByName(name)
-		if e, ok := s.goneEvent(a, w, now); ok {
+		w := s.placement.WorkerByName(name)
+		if e, ok := s.workerGoneEvent(a, w, now); ok {
 			events = append(events, e)
 			continue
 		}
-		if a.received.IsZero() || a.failures > 0 && a.lapsed(now) {
+		if a.receivedAt.IsZero() || a.failures > 0 && a.leaseExpired(now) {
 			continue
 		}
 		if s.needsJoin(a, w) {
@@ -29,50 +29,52 @@
 			})
 			continue
 		}
-		if a.dirty {
-			a.dirty = false
+		if a.unprocessed {
+			a.unprocessed = false
 			events = append(events, s.taskEvents(a, w)...)
 		}
 	}
 	return events
 }
 
-// needsJoin reports whether the worker must be recorded as it now is.
+// needsJoin reports whether the recorded worker differs from the reported one.
 func (s *Scheduler) needsJoin(a *agent, w *applier.Worker) bool {
 	return w == nil || w.Gone() || w.Incarnation() != a.report.Incarnation ||
 		w.Capacity() != a.report.Capacity || w.Rack() != a.report.Rack
 }
 
-// goneEvent tells that a worker's lease has lapsed, by this owner's own count
-// or by the operators' declaration and a full lease.
-func (s *Scheduler) goneEvent(a *agent, w *applier.Worker, now time.Time) (briarspring.Event, bool) {
+// workerGoneEvent returns the event that removes a worker whose lease has
+// expired. Either it did not answer until its lease ended, or operators declared
+// it lost and a full lease has passed since.
+func (s *Scheduler) workerGoneEvent(a *agent, w *applier.Worker, now time.Time) (briarspring.Event, bool) {
 	if w == nil || w.Gone() {
 		return nil, false
 	}
-	if a.failures > 0 && a.lapsed(now) {
-		s.logger.Warn("worker's lease has lapsed", "worker", w.Name(), "tasks", w.Len())
+	if a.failures > 0 && a.leaseExpired(now) {
+		s.logger.Warn("worker's lease has expired", "worker", w.Name(), "tasks", w.Len())
 		return briarspring.WorkerGone{Worker: w.Number()}, true
 	}
 	declared := s.conf.LostAt(w.Name())
 	if declared <= w.Declared() {
 		return nil, false
 	}
-	if a.lossSince.IsZero() {
-		a.lossSince = now
+	if a.lossSeenAt.IsZero() {
+		a.lossSeenAt = now
 	}
-	if now.Sub(a.lossSince) < s.config.Lease+lapseMargin {
+	if now.Sub(a.lossSeenAt) < s.config.Lease+leaseMargin {
 		return nil, false
 	}
-	a.lossSince = time.Time{}
+	a.lossSeenAt = time.Time{}
 	s.logger.Warn("worker was declared lost", "worker", w.Name(), "tasks", w.Len(), "declared", declared)
 	return briarspring.WorkerGone{Worker: w.Number(), Declared: declared}, true
 }
 
-// taskEvents compares a worker's report with the open attempts on it.
+// taskEvents returns the events for the open attempts on a worker that its report
+// shows as changed.
 func (s *Scheduler) taskEvents(a *agent, w *applier.Worker) []briarspring.Event {
 	var events []briarspring.Event
 	for _, id := range w.Tasks() {
-		t := s.place.Task(id)
+		t := s.placement.Task(id)
 		attempt := briarspring.AttemptID{Task: id, Attempt: t.Attempt()}
 		r, known := a.reported[attempt]
 		switch {
@@ -81,7 +83,7 @@
 		case known && r.Address != "" && t.Address() != r.Address:
 			events = append(events, briarspring.Ready{Attempt: attempt, Address: r.Address})
 		case !known && (t.Evicting() || t.Cancelled()) && a.report.Clock > a.notAfter[attempt]:
-			// The worker never started it, and no start that is on its way can.
+			// The worker never started it, and a start still in flight is too late.
 			events = append(events, briarspring.End{Attempt: attempt, Reason: briarspring.EndNotStarted})
 		}
 	}
@@ -91,7 +93,7 @@
 	return events
 }
 
-// endEvent maps the end that a worker reports. The checkpoint of an attempt
+// endEvent converts the end that a worker reports. The checkpoint of an attempt
 // that never ran or was lost is the one it had started from.
 func (s *Scheduler) endEvent(attempt briarspring.AttemptID, r briarspring.TaskReport, t *applier.Task) briarspring.Event {
 	e := briarspring.End{Attempt: attempt, Checkpoint: t.Checkpoint()}
@@ -100,7 +102,7 @@
 		e.Reason = briarspring.EndDone
 		s.quarantine.succeeded(t.Worker(), attempt.Task)
 	case briarspring.TaskFailed:
-		e.Reason = s.failure(attempt, t)
+		e.Reason = s.failureReason(attempt, t)
 	case briarspring.TaskCheckpointed:
 		e.Reason = briarspring.EndEvicted
 		e.Checkpoint = r.Checkpoint
@@ -112,11 +114,12 @@
 	return e
 }
 
-// failure notes a failed attempt. On a worker that fails everything it is not
-// the task's fault, and the task does not use up a try.
-func (s *Scheduler) failure(attempt briarspring.AttemptID, t *applier.Task) briarspring.EndReason {
+// failureReason records a failed attempt and returns the reason of its end. A
+// worker that fails everything is at fault itself: its failures count as lost
+// attempts, which use up none of the task's tries.
+func (s *Scheduler) failureReason(attempt briarspring.AttemptID, t *applier.Task) briarspring.EndReason {
 	s.quarantine.failed(t.Worker(), attempt.Task, t.Failures(), time.Now())
-	if s.quarantine.suspects(t.Worker()) {
+	if s.quarantine.isSuspect(t.Worker()) {
 		return briarspring.EndLost
 	}
 	return briarspring.EndFailed
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,5 +1,5 @@
-// Package scheduler follows the platform's log, owns its data centre's workers
-// when its claim is in force, places tasks on them and renews their leases.
+// Package scheduler replicates the platform's log and, while its process owns
+// its data centre's workers, places tasks on them and renews their leases.
 package scheduler
 
 import (
@@ -17,18 +17,18 @@
 	"briarspring/placer"
 )
 
-// Log is the platform's log.
+// Log appends to and reads from the platform's log.
 type Log interface {
 	Append(ctx context.Context, stream string, record []byte) (uint64, error)
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (briarspring.LogPage, error)
 }
 
-// Workers reaches the data centre's workers.
+// Workers exchanges commands and reports with the data centre's workers.
 type Workers interface {
 	Exchange(ctx context.Context, address string, e briarspring.Exchange) (briarspring.WorkerReport, error)
 }
 
-// Hosts is the platform's list of live and leaving hosts.
+// Hosts lists the platform's live and leaving hosts.
 type Hosts interface {
 	Hosts(ctx context.Context, dataCentre string) ([]briarspring.Host, error)
 }
@@ -42,24 +42,24 @@
 	Hosts      Hosts
 	Logger     hclog.Logger
 
-	Lease            time.Duration // Of a worker, from its last report on.
-	OutageLease      time.Duration // The same while the log can't be read.
-	StartWindow      time.Duration // From the last read of the log to the latest start.
-	ExchangeInterval time.Duration // Between two exchanges with a worker.
-	ExchangeTimeout  time.Duration
-	CommitInterval   time.Duration // Least time between two batches.
-	BeatInterval     time.Duration // Between two batches of an idle owner.
-	OwnerTimeout     time.Duration // Without a batch, after which a follower claims.
-	SummaryInterval  time.Duration
-	HostsInterval    time.Duration
-	SnapshotInterval time.Duration // Between two snapshots of a stream.
-	SnapshotRecords  uint64        // Records between two snapshots of a stream.
-	ReadWait         time.Duration // Of a read for the next record.
-	EvictionsPerMin  int           // Bound on evictions for noise, in the data centre.
-	Rule             placer.Rule   // Of placement; empty for the usual one.
+	Lease             time.Duration // Length of a worker's lease, counted from its last report.
+	OutageLease       time.Duration // Lease length while the log can't be read.
+	StartWindow       time.Duration // Longest time between a read of the log and a start based on it.
+	ExchangeInterval  time.Duration // Time between two exchanges with a worker.
+	ExchangeTimeout   time.Duration
+	CommitInterval    time.Duration // Minimum time between two batches.
+	IdleBatchInterval time.Duration // Time between two batches of an idle owner, as its heartbeat.
+	OwnerTimeout      time.Duration // Time without a batch after which a follower claims the workers.
+	SummaryInterval   time.Duration
+	HostsInterval     time.Duration
+	SnapshotInterval  time.Duration // Time between two snapshots of a stream.
+	SnapshotRecords   uint64        // Number of records between two snapshots of a stream.
+	ReadWait          time.Duration // How long a read waits for the next record.
+	EvictionsPerMin   int           // Rate limit on evictions for interference, per data centre.
+	Rule              placer.Rule   // Placement rule; empty for the default.
 }
 
-// WithDefaults returns the settings with the usual values where none is set.
+// WithDefaults returns the settings with defaults for those that are not set.
 func (c Config) WithDefaults() Config {
 	set := func(d *time.Duration, value time.Duration) {
 		if *d == 0 {
@@ -72,7 +72,7 @@
 	set(&c.ExchangeInterval, time.Second)
 	set(&c.ExchangeTimeout, 2*time.Second)
 	set(&c.CommitInterval, 40*time.Millisecond)
-	set(&c.BeatInterval, time.Second)
+	set(&c.IdleBatchInterval, time.Second)
 	set(&c.OwnerTimeout, 2500*time.Millisecond)
 	set(&c.SummaryInterval, 2*time.Second)
 	set(&c.HostsInterval, 500*time.Millisecond)
@@ -90,44 +90,45 @@
 	return c
 }
 
-// Scheduler is one scheduler process's state and duties.
+// Scheduler holds the replicated state of one scheduler process and runs its
+// part in the data centre, as owner or follower.
 type Scheduler struct {
 	config Config
 	logger hclog.Logger
 	done   chan struct{}
 	wake   chan struct{}
 
-	mu             sync.Mutex
-	conf           *applier.Config
-	place          *applier.Placement
-	confRead       time.Time // When the read was sent that last found no newer record.
-	placeRead      time.Time
-	self           briarspring.Writer
-	confCommitter  *committer.Committer
-	placeCommitter *committer.Committer
-	ownership      ownership
-	agents         map[string]*agent
-	answers        map[string][]chan applier.Answer
-	changed        chan struct{} // Closed and replaced when a state changes.
-	decisions      decisionLog
-	placer         *placer.Placer
-	learner        *learner.Learner
-	guard          guard
-	reconciler     reconciler
-	snapshots      map[string]*snapshotTimer
-	quarantine     quarantine
-	waiting        waitingReasons
-	summary        summaryState
-	hostsErr       bool
-	stopping       bool
-	restored       bool                          // States were taken from a peer.
-	moves          map[briarspring.TaskID]string // Executors that are drained to be moved, with their receiver.
-	roundDue       bool                          // Something changed that placement depends on.
-	lastRound      time.Time
-	counters       Counters
+	mu                 sync.Mutex
+	conf               *applier.Config
+	placement          *applier.Placement
+	configReadAt       time.Time // When the latest read that found no newer record was sent.
+	placementReadAt    time.Time
+	self               briarspring.Writer
+	configCommitter    *committer.Committer
+	placementCommitter *committer.Committer
+	ownership          ownership
+	agents             map[string]*agent
+	answers            map[string][]chan applier.Answer // By request id.
+	changed            chan struct{}                    // Closed and replaced when either state changes.
+	decisions          decisionLog
+	placer             *placer.Placer
+	learner            *learner.Learner
+	interference       interferenceControl
+	reconciler         reconciler
+	snapshots          map[string]*snapshotTimer
+	quarantine         quarantine
+	waiting            waitingReasons
+	summary            summaryState
+	hostsFailing       bool
+	stopping           bool
+	restored           bool                          // Restore has taken both states from a peer.
+	pendingMoves       map[briarspring.TaskID]string // Executors drained for a move, with the receiving data centre.
+	roundDue           bool                          // The input of placement has changed since the last round.
+	lastRound          time.Time
+	counters           Counters
 }
 
-// Counters counts what a scheduler did, for its metrics.
+// Counters holds a scheduler's activity counters, for its metrics.
 type Counters struct {
 	Batches        uint64
 	Events         uint64
@@ -137,21 +138,21 @@
 	RoundTime      time.Duration
 }
 
-// New returns a scheduler; Run makes it work.
+// New returns a scheduler that starts working with Run.
 func New(c Config) *Scheduler {
 	c = c.WithDefaults()
 	s := &Scheduler{
-		config:    c,
-		logger:    c.Logger.Named("scheduler"),
-		done:      make(chan struct{}),
-		wake:      make(chan struct{}, 1),
-		conf:      applier.NewConfig(),
-		place:     applier.NewPlacement(),
-		agents:    map[string]*agent{},
-		answers:   map[string][]chan applier.Answer{},
-		changed:   make(chan struct{}),
-		snapshots: map[string]*snapshotTimer{},
-		moves:     map[briarspring.TaskID]string{},
+		config:       c,
+		logger:       c.Logger.Named("scheduler"),
+		done:         make(chan struct{}),
+		wake:         make(chan struct{}, 1),
+		conf:         applier.NewConfig(),
+		placement:    applier.NewPlacement(),
+		agents:       map[string]*agent{},
+		answers:      map[string][]chan applier.Answer{},
+		changed:      make(chan struct{}),
+		snapshots:    map[string]*snapshotTimer{},
+		pendingMoves: map[briarspring.TaskID]string{},
 	}
 	s.learner = learner.New(learner.Config{})
 	s.placer = placer.New(placer.Config{
@@ -162,7 +163,7 @@
 	s.quarantine.init()
 	s.waiting.init()
 	s.summary.init()
-	s.guard.init()
+	s.interference.init()
 	return s
 }
 
@@ -176,16 +177,16 @@
 // Done returns a channel that is closed when Run has ended.
 func (s *Scheduler) Done() <-chan struct{} { return s.done }
 
-// Run works until the context ends.
+// Run runs the scheduler until the context ends.
 func (s *Scheduler) Run(ctx context.Context) {
 	defer close(s.done)
 	ctx, cancel := context.WithCancel(ctx)
-	var duties sync.WaitGroup
-	defer duties.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
-	conf := s.follow(ctx, &duties, briarspring.ConfigStream, s.conf.Applied()+1)
-	place := s.follow(ctx, &duties, briarspring.PlacementStream(s.config.DataCentre), s.place.Applied()+1)
-	duties.Go(func() { s.pollHosts(ctx) })
+	conf := s.startFollower(ctx, &wg, briarspring.ConfigStream, s.conf.Applied()+1)
+	placement := s.startFollower(ctx, &wg, briarspring.PlacementStream(s.config.DataCentre), s.placement.Applied()+1)
+	wg.Go(func() { s.pollHosts(ctx) })
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
@@ -193,34 +194,34 @@
 		case <-ctx.Done():
 			return
 		case item := <-conf.Items():
-			s.locked(func() { s.takeConfig(item) })
-			s.drain(conf.Items(), s.takeConfig)
-		case item := <-place.Items():
-			s.locked(func() { s.takePlacement(item) })
-			s.drain(place.Items(), s.takePlacement)
+			s.locked(func() { s.applyConfigItem(item) })
+			s.applyQueued(conf.Items(), s.applyConfigItem)
+		case item := <-placement.Items():
+			s.locked(func() { s.applyPlacementItem(item) })
+			s.applyQueued(placement.Items(), s.applyPlacementItem)
 		case <-tick.C:
 		case <-s.wake:
 		}
-		s.locked(func() { s.step(ctx, &duties) })
+		s.locked(func() { s.step(ctx, &wg) })
 	}
 }
 
-func (s *Scheduler) follow(ctx context.Context, duties *sync.WaitGroup, stream string, from uint64) *follower.Follower {
+func (s *Scheduler) startFollower(ctx context.Context, wg *sync.WaitGroup, stream string, from uint64) *follower.Follower {
 	f := follower.New(follower.Config{
 		Stream: stream, Reader: s.config.Log, From: from, Wait: s.config.ReadWait, Logger: s.logger,
 	})
-	duties.Go(func() { f.Run(ctx) })
+	wg.Go(func() { f.Run(ctx) })
 	return f
 }
 
-// drain takes what else has been read already.
-func (s *Scheduler) drain(items <-chan follower.Item, take func(follower.Item)) {
+// applyQueued applies the items that a follower has already read.
+func (s *Scheduler) applyQueued(items <-chan follower.Item, apply func(follower.Item)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
 		select {
 		case item := <-items:
-			take(item)
+			apply(item)
 		default:
 			return
 		}
@@ -233,7 +234,7 @@
 	f()
 }
 
-// Wake makes the scheduler take its next step soon.
+// Wake makes Run call step without waiting for the next tick.
 func (s *Scheduler) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -241,15 +242,15 @@
 	}
 }
 
-// notify tells everyone who waits for a change of state.
+// notify wakes those who wait for a change of state.
 func (s *Scheduler) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// step takes the decisions that are due.
-func (s *Scheduler) step(ctx context.Context, duties *sync.WaitGroup) {
-	if !s.ready(ctx, duties) {
+// step runs the tasks that are due for an owner or a follower.
+func (s *Scheduler) step(ctx context.Context, wg *sync.WaitGroup) {
+	if !s.ensureCommitters(ctx, wg) {
 		return
 	}
 	s.writeSnapshots()
@@ -258,43 +259,44 @@
 		return
 	}
 	if !s.owns() {
-		s.maybeClaim()
+		s.claimIfUnowned()
 		return
 	}
-	s.runAgents(ctx, duties)
+	s.startAgents(ctx, wg)
 	s.publishSummary()
 	s.sendTransfers()
-	s.decide()
+	s.queueNextBatch()
 }
 
-// ready reports whether both streams have been read to their end once. Only
-// then does the process know its own last incarnation and may write.
-func (s *Scheduler) ready(ctx context.Context, duties *sync.WaitGroup) bool {
-	if s.placeCommitter != nil {
+// ensureCommitters starts the committers once both streams have been read to
+// their end, and reports whether they run. Only then does the process know its
+// own last incarnation and may write.
+func (s *Scheduler) ensureCommitters(ctx context.Context, wg *sync.WaitGroup) bool {
+	if s.placementCommitter != nil {
 		return true
 	}
-	if s.confRead.IsZero() || s.placeRead.IsZero() {
+	if s.configReadAt.IsZero() || s.placementReadAt.IsZero() {
 		return false
 	}
-	lastConf, _ := s.conf.Sequence(s.config.Name)
-	lastPlace, _ := s.place.Sequence(s.config.Name)
+	lastConfig, _ := s.conf.Sequence(s.config.Name)
+	lastPlacement, _ := s.placement.Sequence(s.config.Name)
 	s.self = briarspring.Writer{
 		Name:        s.config.Name,
-		Incarnation: max(uint64(time.Now().UnixNano()), lastConf+1, lastPlace+1),
+		Incarnation: max(uint64(time.Now().UnixNano()), lastConfig+1, lastPlacement+1),
 	}
-	s.confCommitter = s.startCommitter(ctx, duties, briarspring.ConfigStream)
-	s.placeCommitter = s.startCommitter(ctx, duties, briarspring.PlacementStream(s.config.DataCentre))
+	s.configCommitter = s.startCommitter(ctx, wg, briarspring.ConfigStream)
+	s.placementCommitter = s.startCommitter(ctx, wg, briarspring.PlacementStream(s.config.DataCentre))
 	s.notify()
 	s.logger.Info("streams read to their end",
-		"config-offset", s.conf.Applied(), "placement-offset", s.place.Applied(), "incarnation", s.self.Incarnation)
+		"config-offset", s.conf.Applied(), "placement-offset", s.placement.Applied(), "incarnation", s.self.Incarnation)
 	return true
 }
 
-func (s *Scheduler) startCommitter(ctx context.Context, duties *sync.WaitGroup, stream string) *committer.Committer {
+func (s *Scheduler) startCommitter(ctx context.Context, wg *sync.WaitGroup, stream string) *committer.Committer {
 	c := committer.New(committer.Config{
 		Stream: stream, Appender: s.config.Log, Writer: s.self,
 		Interval: s.config.CommitInterval, Logger: s.logger,
 	})
-	duties.Go(func() { c.Run(ctx) })
+	wg.Go(func() { c.Run(ctx) })
 	return c
 }
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -11,59 +11,60 @@
 )
 
 const (
-	// snapshotSpread keeps several processes from writing one snapshot each.
-	snapshotSpread = 2 * time.Second
+	// maxSnapshotDelay bounds the delay by which processes take turns, so that
+	// only the first of them writes a snapshot.
+	maxSnapshotDelay = 2 * time.Second
 )
 
-// snapshotTimer knows when a stream's next snapshot is due.
+// snapshotTimer tracks when a stream's next snapshot is due.
 type snapshotTimer struct {
-	covers uint64    // Offset that the newest snapshot in the stream covers.
-	at     time.Time // When its first chunk was read or queued.
-	due    time.Time // When this process writes one, if nobody else does.
+	coveredOffset uint64    // Offset covered by the newest snapshot in the stream.
+	coveredAt     time.Time // When a chunk of it was last read or queued.
+	writeAt       time.Time // When this process writes one unless another has; zero if none is due.
 }
 
 func (s *Scheduler) snapshotTimer(stream string) *snapshotTimer {
 	t := s.snapshots[stream]
 	if t == nil {
-		t = &snapshotTimer{at: time.Now()}
+		t = &snapshotTimer{coveredAt: time.Now()}
 		s.snapshots[stream] = t
 	}
 	return t
 }
 
-// noteSnapshot sees that somebody wrote a snapshot.
-func (s *Scheduler) noteSnapshot(stream string, item follower.Item) {
+// observeSnapshotChunk resets the timer when any process writes a snapshot.
+func (s *Scheduler) observeSnapshotChunk(stream string, item follower.Item) {
 	chunk, ok := item.Record.Body.(briarspring.SnapshotChunk)
 	if !ok {
 		return
 	}
 	t := s.snapshotTimer(stream)
-	t.covers = max(t.covers, chunk.Covers)
-	t.at = time.Now()
-	t.due = time.Time{}
+	t.coveredOffset = max(t.coveredOffset, chunk.Covers)
+	t.coveredAt = time.Now()
+	t.writeAt = time.Time{}
 }
 
-// writeSnapshots appends snapshots that are due, well before the records that
-// they cover are no longer kept.
+// writeSnapshots appends the snapshots that are due, well before the log drops
+// the records that they cover.
 func (s *Scheduler) writeSnapshots() {
-	s.writeSnapshot(briarspring.ConfigStream, s.conf.Applied(), s.conf.Snapshot, s.confCommitter)
+	s.writeSnapshot(briarspring.ConfigStream, s.conf.Applied(), s.conf.Snapshot, s.configCommitter)
 	if s.owns() {
-		s.writeSnapshot(briarspring.PlacementStream(s.config.DataCentre), s.place.Applied(), s.place.Snapshot, s.placeCommitter)
+		s.writeSnapshot(briarspring.PlacementStream(s.config.DataCentre), s.placement.Applied(), s.placement.Snapshot, s.placementCommitter)
 	}
 }
 
 func (s *Scheduler) writeSnapshot(stream string, applied uint64, encode func() ([]byte, error), c *committer.Committer) {
 	now := time.Now()
 	t := s.snapshotTimer(stream)
-	grown := applied > t.covers+s.config.SnapshotRecords
-	old := applied > t.covers && now.Sub(t.at) > s.config.SnapshotInterval
+	grown := applied > t.coveredOffset+s.config.SnapshotRecords
+	old := applied > t.coveredOffset && now.Sub(t.coveredAt) > s.config.SnapshotInterval
 	if !grown && !old || c.Pending() > 0 {
 		return
 	}
-	if t.due.IsZero() {
-		t.due = now.Add(s.snapshotDelay(stream))
+	if t.writeAt.IsZero() {
+		t.writeAt = now.Add(s.snapshotDelay(stream))
 	}
-	if now.Before(t.due) {
+	if now.Before(t.writeAt) {
 		return
 	}
 	data, err := encode()
@@ -74,12 +75,12 @@
 	for _, chunk := range applier.Chunks(applied, data) {
 		c.Commit(chunk)
 	}
-	t.covers, t.at, t.due = applied, now, time.Time{}
-	s.logger.Info("writes a snapshot", "stream", stream, "covers", applied, "bytes", len(data))
+	t.coveredOffset, t.coveredAt, t.writeAt = applied, now, time.Time{}
+	s.logger.Info("writing a snapshot", "stream", stream, "covers", applied, "bytes", len(data))
 }
 
 func (s *Scheduler) snapshotDelay(stream string) time.Duration {
 	h := fnv.New32a()
 	h.Write([]byte(stream + s.config.Name))
-	return time.Duration(h.Sum32()%16) * snapshotSpread / 16
+	return time.Duration(h.Sum32()%16) * maxSnapshotDelay / 16
 }
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// summaryIdle is the time between two equal summaries.
-	summaryIdle = 10 * time.Second
-	// summaryProgress bounds the workloads whose progress is in one summary.
-	summaryProgress = 2000
+	// summaryRepeatInterval is the time after which an unchanged summary is repeated.
+	summaryRepeatInterval = 10 * time.Second
+	// maxSummaryProgress limits the workloads with progress in one summary.
+	maxSummaryProgress = 2000
 )
 
-// summaryState is what the owner has published.
+// summaryState holds what the owner has published to the other data centres.
 type summaryState struct {
 	sentAt        time.Time
 	sent          briarspring.Summary
@@ -29,24 +29,25 @@
 	m.transferSent = map[briarspring.WorkloadID]time.Time{}
 }
 
-// owes reports whether a workload's progress was not published yet.
-func (m *summaryState) owes(l *applier.Load) bool { return m.progress[l.ID()] != l.Progress() }
+// unpublished reports whether a workload has progress to publish.
+func (m *summaryState) unpublished(l *applier.Load) bool { return m.progress[l.ID()] != l.Progress() }
 
-// publishSummary tells the other data centres what changed here.
+// publishSummary appends a summary of this data centre for the others, if it has
+// changed or is due again.
 func (s *Scheduler) publishSummary() {
 	now := time.Now()
-	if now.Sub(s.summary.sentAt) < s.config.SummaryInterval || s.confCommitter.Pending() > 0 {
+	if now.Sub(s.summary.sentAt) < s.config.SummaryInterval || s.configCommitter.Pending() > 0 {
 		return
 	}
-	sum := s.summaryNow()
+	sum := s.currentSummary()
 	progress := s.changedProgress()
-	if len(progress) == 0 && equalTotals(sum, s.summary.sent) && now.Sub(s.summary.sentAt) < summaryIdle {
+	if len(progress) == 0 && equalTotals(sum, s.summary.sent) && now.Sub(s.summary.sentAt) < summaryRepeatInterval {
 		return
 	}
 	s.summary.sentAt = now
 	s.summary.sent = sum
 	sum.Progress = progress
-	if _, ok := s.confCommitter.Commit(sum); !ok {
+	if _, ok := s.configCommitter.Commit(sum); !ok {
 		return
 	}
 	for _, p := range progress {
@@ -54,10 +55,10 @@
 	}
 }
 
-func (s *Scheduler) summaryNow() briarspring.Summary {
-	capacity, committed, largest, workers := s.place.Totals()
+func (s *Scheduler) currentSummary() briarspring.Summary {
+	capacity, committed, largest, workers := s.placement.Totals()
 	return briarspring.Summary{
-		DataCentre: s.config.DataCentre, Epoch: s.place.Epoch(), Owner: s.config.Name,
+		DataCentre: s.config.DataCentre, Epoch: s.placement.Epoch(), Owner: s.config.Name,
 		Capacity: capacity, Committed: committed, Largest: largest, Workers: workers,
 	}
 }
@@ -69,12 +70,12 @@
 
 func (s *Scheduler) changedProgress() []briarspring.Progress {
 	var out []briarspring.Progress
-	for _, id := range s.place.Loads() {
-		l := s.place.Load(id)
-		if s.summary.owes(l) {
+	for _, id := range s.placement.Loads() {
+		l := s.placement.Load(id)
+		if s.summary.unpublished(l) {
 			out = append(out, l.Progress())
 		}
-		if len(out) == summaryProgress {
+		if len(out) == maxSummaryProgress {
 			break
 		}
 	}
--- a/scheduler/transfer.go
+++ b/scheduler/transfer.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// transferRetry is how long a transfer waits for its record.
-	transferRetry = 3 * time.Second
-	// rebalanceShare is the share of a data centre's processors that must be
-	// free before others send it waiting tasks.
-	rebalanceShare = 0.05
+	// transferRetryInterval is the time after a transfer before it is repeated, if
+	// its tasks are still assigned here.
+	transferRetryInterval = 3 * time.Second
+	// minFreeShare is the share of a data centre's processors that must be free
+	// before others send it waiting tasks.
+	minFreeShare = 0.05
 )
 
-// moveEvents empties a data centre that was taken out: running tasks are
-// evicted, waiting ones released to the others.
-func (s *Scheduler) moveEvents() []briarspring.Event {
-	targets := s.targets()
+// evacuationEvents evicts the running tasks of a data centre that is out of
+// service and releases its waiting tasks to the others.
+func (s *Scheduler) evacuationEvents() []briarspring.Event {
+	targets := s.transferTargets()
 	if len(targets) == 0 {
 		return nil
 	}
 	var events []briarspring.Event
 	for i, id := range s.loadsByWeight() {
-		l := s.place.Load(id)
+		l := s.placement.Load(id)
 		if len(events) >= maxBatchEvents {
 			break
 		}
-		events = append(events, s.evictAll(l)...)
+		events = append(events, s.evictAllEvents(l)...)
 		if e, ok := s.releaseEvent(l, targets[i%len(targets)]); ok {
 			events = append(events, e)
 		}
@@ -37,8 +38,8 @@
 	return events
 }
 
-// targets returns the data centres that can take tasks, most free first.
-func (s *Scheduler) targets() []string {
+// transferTargets returns the data centres that can take tasks, most free first.
+func (s *Scheduler) transferTargets() []string {
 	var list []*applier.DataCentre
 	for _, d := range s.conf.DataCentres() {
 		if d.Name() != s.config.DataCentre && !d.Out() && d.Summary().Workers > 0 {
@@ -59,10 +60,10 @@
 	return d.Summary().Capacity.Sub(d.Summary().Committed).MilliCPU()
 }
 
-// loadsByWeight returns the workloads held here: services first, then jobs by
-// weight.
+// loadsByWeight returns the workloads held here, services first, then jobs by
+// descending weight.
 func (s *Scheduler) loadsByWeight() []briarspring.WorkloadID {
-	ids := s.place.Loads()
+	ids := s.placement.Loads()
 	slices.SortStableFunc(ids, func(a, b briarspring.WorkloadID) int {
 		return int(s.weight(b)) - int(s.weight(a))
 	})
@@ -81,7 +82,7 @@
 	return w.Job().Weight()
 }
 
-func (s *Scheduler) evictAll(l *applier.Load) []briarspring.Event {
+func (s *Scheduler) evictAllEvents(l *applier.Load) []briarspring.Event {
 	var events []briarspring.Event
 	for _, t := range l.Tasks() {
 		if t.Phase() == applier.PhasePlaced && !t.Evicting() && !t.Cancelled() {
@@ -99,12 +100,12 @@
 	return briarspring.EvictIntent{Attempt: attempt}
 }
 
-// releaseEvent releases waiting tasks of a workload, if it has some.
+// releaseEvent releases waiting tasks of a workload, if there are any.
 func (s *Scheduler) releaseEvent(l *applier.Load, to string) (briarspring.Event, bool) {
-	return releaseSome(l, to, releaseTasks)
+	return releaseUpTo(l, to, maxReleaseTasks)
 }
 
-func releaseSome(l *applier.Load, to string, n int) (briarspring.Event, bool) {
+func releaseUpTo(l *applier.Load, to string, n int) (briarspring.Event, bool) {
 	waiting := l.NextWaiting(n)
 	if len(waiting) == 0 {
 		return nil, false
@@ -117,30 +118,30 @@
 	return e, true
 }
 
-// rebalanceEvents releases waiting tasks for which there is no room here to a
-// data centre that has some.
+// rebalanceEvents releases waiting tasks that find no room here to a data centre
+// that has room. It also moves executors with spreadEvents.
 func (s *Scheduler) rebalanceEvents() []briarspring.Event {
 	now := time.Now()
 	if now.Sub(s.summary.lastRebalance) < s.config.SummaryInterval {
 		return nil
 	}
 	s.summary.lastRebalance = now
-	target, room := s.roomiest()
+	target, room := s.rebalanceTarget()
 	if target == "" {
 		return nil
 	}
 	events := s.spreadEvents()
 	for _, id := range s.loadsByWeight() {
-		l := s.place.Load(id)
-		if l.Waiting() == 0 || s.moving(id) || !s.waiting.blockedWithin(id, now, 2*s.config.SummaryInterval) {
+		l := s.placement.Load(id)
+		if l.Waiting() == 0 || s.hasPendingMove(id) || !s.waiting.blockedWithin(id, now, 2*s.config.SummaryInterval) {
 			continue
 		}
 		need := max(l.Resources().MilliCPU(), 1)
-		n := min(int64(l.Waiting()), room/need, releaseTasks)
+		n := min(int64(l.Waiting()), room/need, maxReleaseTasks)
 		if n <= 0 || !l.Resources().Fits(s.conf.DataCentre(target).Summary().Largest) {
 			continue
 		}
-		if e, ok := releaseSome(l, target, int(n)); ok {
+		if e, ok := releaseUpTo(l, target, int(n)); ok {
 			events = append(events, e)
 			room -= n * need
 		}
@@ -148,44 +149,44 @@
 	return events
 }
 
-// roomiest returns the data centre with the most free processors, if they are
-// worth a move, and how much of them to fill.
-func (s *Scheduler) roomiest() (string, int64) {
-	names := s.targets()
+// rebalanceTarget returns the data centre with the most free processors, if their
+// share is at least minFreeShare, and how many milli-CPU of them to fill.
+func (s *Scheduler) rebalanceTarget() (string, int64) {
+	names := s.transferTargets()
 	if len(names) == 0 {
 		return "", 0
 	}
 	d := s.conf.DataCentre(names[0])
 	free := freeCPU(d)
-	if float64(free) < rebalanceShare*float64(d.Summary().Capacity.MilliCPU()) {
+	if float64(free) < minFreeShare*float64(d.Summary().Capacity.MilliCPU()) {
 		return "", 0
 	}
-	// The other data centres see the same room, and each fills its part.
+	// The other data centres see the same free processors; each fills its part.
 	return d.Name(), free / int64(len(names))
 }
 
-// sendTransfers appends the transfers of released tasks. It goes by the state
-// alone, so that a new owner finishes what an old one began.
+// sendTransfers appends the transfers of released tasks. It depends only on the
+// streams' state, so that a new owner completes what the last one began.
 func (s *Scheduler) sendTransfers() {
 	now := time.Now()
-	for _, id := range s.place.Loads() {
-		l := s.place.Load(id)
+	for _, id := range s.placement.Loads() {
+		l := s.placement.Load(id)
 		w := s.conf.Workload(id)
-		if w == nil || now.Sub(s.summary.transferSent[id]) < transferRetry {
+		if w == nil || now.Sub(s.summary.transferSent[id]) < transferRetryInterval {
 			continue
 		}
 		for to, tasks := range s.releasedTasks(w, l) {
 			s.summary.transferSent[id] = now
-			s.confCommitter.Commit(briarspring.Transfer{
+			s.configCommitter.Commit(briarspring.Transfer{
 				Workload: id, From: s.config.DataCentre, To: to, Granted: l.Offset(), Tasks: tasks,
 			})
-			s.logger.Info("transfers tasks", "workload", w.Name(), "to", to, "tasks", len(tasks))
+			s.logger.Info("transferring tasks", "workload", w.Name(), "to", to, "tasks", len(tasks))
 		}
 	}
 }
 
 // releasedTasks returns the released tasks that the configuration still assigns
-// to this data centre, by receiver.
+// to this data centre, by receiving data centre.
 func (s *Scheduler) releasedTasks(w *applier.Workload, l *applier.Load) map[string][]briarspring.TaskState {
 	out := map[string][]briarspring.TaskState{}
 	if l.Released() == 0 {
