--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -11,7 +11,7 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// CreateQuota records a team's quota.
+// CreateQuota creates a team's quota.
 func (s *Server) CreateQuota(ctx context.Context, r *connect.Request[pb.CreateQuotaRequest]) (*connect.Response[pb.ChangeResponse], error) {
 	q, err := encoder.DecodeQuota(r.Msg.GetQuota())
 	if err != nil {
@@ -40,7 +40,7 @@
 	return s.submit(ctx, r.Msg.GetRequestId(), r.Msg.GetExpectedVersion(), briarspring.DeleteQuota{Team: r.Msg.GetName()})
 }
 
-// DescribeQuota tells a team's quota and its version.
+// DescribeQuota returns a team's quota and its version.
 func (s *Server) DescribeQuota(_ context.Context, r *connect.Request[pb.DescribeRequest]) (*connect.Response[pb.QuotaDescription], error) {
 	var m *pb.QuotaDescription
 	err := s.view(func(conf *applier.Config, _ *applier.Placement) {
@@ -57,7 +57,7 @@
 	return connect.NewResponse(m), nil
 }
 
-// ListQuotas lists all quotas in order of team.
+// ListQuotas lists all quotas, sorted by team.
 func (s *Server) ListQuotas(context.Context, *connect.Request[pb.ListQuotasRequest]) (*connect.Response[pb.ListQuotasResponse], error) {
 	m := &pb.ListQuotasResponse{}
 	err := s.view(func(conf *applier.Config, _ *applier.Placement) {
@@ -83,7 +83,7 @@
 	return s.submit(ctx, r.Msg.GetRequestId(), r.Msg.GetExpectedVersion(), briarspring.TakeOut{DataCentre: r.Msg.GetDataCentre()})
 }
 
-// ReturnDataCentre brings a data centre back.
+// ReturnDataCentre returns a data centre to service.
 func (s *Server) ReturnDataCentre(ctx context.Context, r *connect.Request[pb.DataCentreRequest]) (*connect.Response[pb.ChangeResponse], error) {
 	if err := requireVersion("data-centre/"+r.Msg.GetDataCentre(), r.Msg.GetExpectedVersion()); err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 	return s.submit(ctx, r.Msg.GetRequestId(), r.Msg.GetExpectedVersion(), briarspring.Return{DataCentre: r.Msg.GetDataCentre()})
 }
 
-// ListDataCentres lists all data centres in order of name.
+// ListDataCentres lists all data centres, sorted by name.
 func (s *Server) ListDataCentres(context.Context, *connect.Request[pb.ListDataCentresRequest]) (*connect.Response[pb.ListDataCentresResponse], error) {
 	m := &pb.ListDataCentresResponse{}
 	err := s.view(func(conf *applier.Config, _ *applier.Placement) {
@@ -112,7 +112,7 @@
 	return connect.NewResponse(m), nil
 }
 
-// DeclareWorkerLost tells that a worker will never run its tasks again.
+// DeclareWorkerLost records that a worker will never run its tasks again.
 func (s *Server) DeclareWorkerLost(ctx context.Context, r *connect.Request[pb.DeclareWorkerLostRequest]) (*connect.Response[pb.ChangeResponse], error) {
 	if r.Msg.GetWorker() == "" {
 		return nil, rpcError(&briarspring.InvalidError{Object: "worker", Reason: "no name is given"})
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	for _, w := range m.Workers {
-		if w.State == workerLive && s.engine.Leaving(w.Name) {
+		if w.State == workerLive && s.scheduler.Leaving(w.Name) {
 			w.State = workerLeaving
 		}
 	}
--- a/operator/job.go
+++ b/operator/job.go
@@ -11,7 +11,7 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// The states of a job that operators see.
+// Job states shown to operators.
 const (
 	stateWaiting    = "waiting"
 	stateRunning    = "running"
@@ -21,7 +21,7 @@
 	stateImpossible = "impossible"
 )
 
-// CreateJob records a new job.
+// CreateJob creates a job.
 func (s *Server) CreateJob(ctx context.Context, r *connect.Request[pb.CreateJobRequest]) (*connect.Response[pb.ChangeResponse], error) {
 	j, err := encoder.DecodeJob(r.Msg.GetJob())
 	if err != nil {
@@ -50,7 +50,7 @@
 	return s.submit(ctx, r.Msg.GetRequestId(), r.Msg.GetExpectedVersion(), briarspring.DeleteJob{Name: r.Msg.GetName()})
 }
 
-// CancelJobs ends many jobs with one record.
+// CancelJobs cancels several jobs with one record.
 func (s *Server) CancelJobs(ctx context.Context, r *connect.Request[pb.CancelJobsRequest]) (*connect.Response[pb.ChangeResponse], error) {
 	if len(r.Msg.GetNames()) == 0 {
 		return nil, rpcError(&briarspring.InvalidError{Object: "jobs", Reason: "no name is given"})
@@ -58,7 +58,7 @@
 	return s.submit(ctx, r.Msg.GetRequestId(), 0, briarspring.CancelJobs{Names: r.Msg.GetNames()})
 }
 
-// DescribeJob tells a job's version, progress and state.
+// DescribeJob returns a job's version, progress and state.
 func (s *Server) DescribeJob(_ context.Context, r *connect.Request[pb.DescribeRequest]) (*connect.Response[pb.JobDescription], error) {
 	var m *pb.JobDescription
 	err := s.view(func(conf *applier.Config, _ *applier.Placement) {
@@ -75,7 +75,7 @@
 	return connect.NewResponse(m), nil
 }
 
-// ListJobs lists all jobs in order of name.
+// ListJobs lists all jobs, sorted by name.
 func (s *Server) ListJobs(context.Context, *connect.Request[pb.ListJobsRequest]) (*connect.Response[pb.ListJobsResponse], error) {
 	m := &pb.ListJobsResponse{}
 	err := s.view(func(conf *applier.Config, _ *applier.Placement) {
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator serves the operators' calls of schema/briarspring/v1.
+// Package operator implements the operators' RPCs of schema/briarspring/v1.
 package operator
 
 import (
@@ -15,8 +15,8 @@
 	"briarspring/scheduler"
 )
 
-// Engine is the scheduler that the calls act on.
-type Engine interface {
+// Scheduler is the scheduler that the RPCs read and change.
+type Scheduler interface {
 	Submit(ctx context.Context, cmd briarspring.Command) (applier.Answer, error)
 	View(f func(conf *applier.Config, place *applier.Placement))
 	Explain(id briarspring.TaskID) scheduler.Explanation
@@ -26,30 +26,31 @@
 	Name() string
 }
 
-// Server answers the operators' calls.
+// Server implements the RPCs on services, jobs, quotas, workers and data centres.
 type Server struct {
-	engine Engine
+	scheduler Scheduler
 }
 
-// New returns a server for an engine.
-func New(e Engine) *Server { return &Server{engine: e} }
+// New returns a server for a scheduler.
+func New(s Scheduler) *Server { return &Server{scheduler: s} }
 
-// view gives read access to the states once they are up to date; an older one
-// must not be shown after a newer one was.
+// view calls f with the current states. It fails until they are up to date,
+// since a client must not see an older state after a newer one.
 func (s *Server) view(f func(conf *applier.Config, place *applier.Placement)) error {
-	if !s.engine.Ready() {
-		return rpcError(&scheduler.NotReadyError{Name: s.engine.Name()})
+	if !s.scheduler.Ready() {
+		return rpcError(&scheduler.NotReadyError{Name: s.scheduler.Name()})
 	}
-	s.engine.View(f)
+	s.scheduler.View(f)
 	return nil
 }
 
-// submit appends a command and maps the answer or the refusal.
+// submit appends a command to the log and maps the result to a response or an
+// RPC error.
 func (s *Server) submit(ctx context.Context, requestID string, expected uint64, change briarspring.Change) (*connect.Response[pb.ChangeResponse], error) {
 	if requestID == "" {
 		requestID = newRequestID()
 	}
-	a, err := s.engine.Submit(ctx, briarspring.Command{RequestID: requestID, ExpectedVersion: expected, Change: change})
+	a, err := s.scheduler.Submit(ctx, briarspring.Command{RequestID: requestID, ExpectedVersion: expected, Change: change})
 	if err != nil {
 		return nil, rpcError(err)
 	}
@@ -65,11 +66,11 @@
 	return "server-" + hex.EncodeToString(b)
 }
 
-// rpcError maps an error to a code of the protocol.
+// rpcError maps an error to a Connect error code.
 func rpcError(err error) error {
 	var invalid *briarspring.InvalidError
 	var conflict *briarspring.ConflictError
-	var missing *briarspring.NotFoundError
+	var notFound *briarspring.NotFoundError
 	var unknown *scheduler.UnknownOutcomeError
 	var notReady *scheduler.NotReadyError
 	switch {
@@ -77,7 +78,7 @@
 		return connect.NewError(connect.CodeInvalidArgument, err)
 	case errors.As(err, &conflict):
 		return conflictError(conflict)
-	case errors.As(err, &missing):
+	case errors.As(err, &notFound):
 		return connect.NewError(connect.CodeNotFound, err)
 	case errors.As(err, &unknown):
 		return connect.NewError(connect.CodeDeadlineExceeded, err)
@@ -102,7 +103,7 @@
 	return e
 }
 
-// requireVersion refuses a change that names no version.
+// requireVersion rejects a change without an expected version.
 func requireVersion(object string, expected uint64) error {
 	if expected == 0 {
 		return rpcError(&briarspring.InvalidError{Object: object, Reason: "expected version must be above zero"})
--- a/operator/service.go
+++ b/operator/service.go
@@ -11,7 +11,7 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// CreateService records a new service.
+// CreateService creates a service.
 func (s *Server) CreateService(ctx context.Context, r *connect.Request[pb.CreateServiceRequest]) (*connect.Response[pb.ChangeResponse], error) {
 	sv, err := encoder.DecodeService(r.Msg.GetService())
 	if err != nil {
@@ -40,7 +40,7 @@
 	return s.submit(ctx, r.Msg.GetRequestId(), r.Msg.GetExpectedVersion(), briarspring.DeleteService{Name: r.Msg.GetName()})
 }
 
-// DescribeService tells a service's version and progress.
+// DescribeService returns a service's version and progress.
 func (s *Server) DescribeService(_ context.Context, r *connect.Request[pb.DescribeRequest]) (*connect.Response[pb.ServiceDescription], error) {
 	var m *pb.ServiceDescription
 	err := s.view(func(conf *applier.Config, _ *applier.Placement) {
@@ -57,7 +57,7 @@
 	return connect.NewResponse(m), nil
 }
 
-// ListServices lists all services in order of name.
+// ListServices lists all services, sorted by name.
 func (s *Server) ListServices(context.Context, *connect.Request[pb.ListServicesRequest]) (*connect.Response[pb.ListServicesResponse], error) {
 	m := &pb.ListServicesResponse{}
 	err := s.view(func(conf *applier.Config, _ *applier.Placement) {
@@ -78,7 +78,8 @@
 	}
 }
 
-// progress tells what each data centre holds and has done of a workload.
+// progress returns the assigned, running and ended tasks of a workload for each
+// data centre.
 func progress(w *applier.Workload) []*pb.Progress {
 	byName := map[string]*pb.Progress{}
 	var out []*pb.Progress
--- a/operator/task.go
+++ b/operator/task.go
@@ -13,7 +13,7 @@
 
 const defaultTaskLimit = 1000
 
-// ListTasks lists the tasks that this scheduler's data centre holds.
+// ListTasks lists the tasks assigned to this scheduler's data centre.
 func (s *Server) ListTasks(_ context.Context, r *connect.Request[pb.ListTasksRequest]) (*connect.Response[pb.ListTasksResponse], error) {
 	limit := int(r.Msg.GetLimit())
 	if limit == 0 {
@@ -65,7 +65,8 @@
 	return m
 }
 
-// ExplainTask tells why a task is where it is, or why it waits.
+// ExplainTask returns where a task is, why it waits, and the latest decisions
+// about it.
 func (s *Server) ExplainTask(_ context.Context, r *connect.Request[pb.ExplainTaskRequest]) (*connect.Response[pb.ExplainTaskResponse], error) {
 	m := &pb.ExplainTaskResponse{}
 	var id briarspring.TaskID
@@ -77,7 +78,7 @@
 		}
 		id = briarspring.TaskID{Workload: w.ID(), Index: r.Msg.GetIndex()}
 		found = true
-		m.Task, m.Waiting = locate(conf, place, w, id)
+		m.Task, m.Waiting = locateTask(conf, place, w, id)
 	})
 	if err != nil {
 		return nil, err
@@ -85,7 +86,7 @@
 	if !found {
 		return nil, rpcError(&briarspring.NotFoundError{Object: "workload/" + r.Msg.GetWorkload()})
 	}
-	x := s.engine.Explain(id)
+	x := s.scheduler.Explain(id)
 	if m.Waiting == "" && m.Task.GetState() == applier.PhaseWaiting.String() {
 		m.Waiting = x.Waiting
 	}
@@ -102,9 +103,9 @@
 	return conf.Job(name)
 }
 
-// locate tells where a task is, and a reason to wait that the configuration
-// gives.
-func locate(conf *applier.Config, place *applier.Placement, w *applier.Workload, id briarspring.TaskID) (*pb.TaskDescription, string) {
+// locateTask returns a task's state and location. If the task is assigned to
+// another data centre or to none, it also returns that as the reason to wait.
+func locateTask(conf *applier.Config, place *applier.Placement, w *applier.Workload, id briarspring.TaskID) (*pb.TaskDescription, string) {
 	l := place.Load(id.Workload)
 	if l != nil && l.Task(id.Index) != nil {
 		return describeTask(w, place, l.Task(id.Index)), ""
@@ -115,7 +116,7 @@
 		return m, ""
 	}
 	for _, share := range w.Shares() {
-		if _, held := w.Holds(share.DataCentre).Has(id.Index); held {
+		if _, assigned := w.Holds(share.DataCentre).Has(id.Index); assigned {
 			m.State = "elsewhere"
 			if share.DataCentre == "" {
 				return m, "no data centre can take it: " + conf.Impossible(w.Resources())
@@ -134,9 +135,9 @@
 	}
 }
 
-// WatchDecisions streams decisions until the caller goes away.
+// WatchDecisions streams decisions until the client disconnects.
 func (s *Server) WatchDecisions(ctx context.Context, r *connect.Request[pb.WatchDecisionsRequest], stream *connect.ServerStream[pb.Decision]) error {
-	decisions := s.engine.Watch(ctx)
+	decisions := s.scheduler.Watch(ctx)
 	for {
 		select {
 		case <-ctx.Done():
--- a/operator/workflow.go
+++ b/operator/workflow.go
@@ -17,8 +17,8 @@
 	"briarspring/registrar"
 )
 
-// Intake takes workflows in and knows the state of all.
-type Intake interface {
+// Admitter accepts workflows and gives access to the state of all workflows.
+type Admitter interface {
 	Queue(name string) (briarspring.Queue, error)
 	Directory() (briarspring.Directory, bool)
 	DataCentres() []balancer.Option
@@ -28,28 +28,28 @@
 	View(f func(*registrar.Registry))
 }
 
-// Owner knows the runs of a data centre while its process owns it.
+// Owner lists the runs in a data centre; ok is false unless this process owns it.
 type Owner interface {
 	Runs(id briarspring.WorkflowID) (list []dispatcher.RunInfo, ok bool)
 }
 
-// WorkflowServer answers the operators' calls on workflows.
+// WorkflowServer implements the RPCs on workflows.
 type WorkflowServer struct {
-	intake Intake
-	owners map[string]Owner
+	admitter Admitter
+	owners   map[string]Owner
 }
 
-// NewWorkflowServer returns a server; owners are by data centre.
-func NewWorkflowServer(i Intake, owners map[string]Owner) *WorkflowServer {
-	return &WorkflowServer{intake: i, owners: owners}
+// NewWorkflowServer returns a server. The owners are keyed by data centre.
+func NewWorkflowServer(a Admitter, owners map[string]Owner) *WorkflowServer {
+	return &WorkflowServer{admitter: a, owners: owners}
 }
 
-// defaultRows bounds a list for which the caller names no limit.
-const defaultRows = 1000
+// defaultRowLimit applies to list requests without a limit.
+const defaultRowLimit = 1000
 
-func rows(limit int32) int {
+func rowLimit(limit int32) int {
 	if limit <= 0 {
-		return defaultRows
+		return defaultRowLimit
 	}
 	return int(limit)
 }
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, workflowError(err)
 	}
-	queue, err := s.intake.Queue(r.Msg.GetQueue())
+	queue, err := s.admitter.Queue(r.Msg.GetQueue())
 	if err != nil {
 		return nil, workflowError(err)
 	}
@@ -76,12 +76,12 @@
 	if err := w.Check(); err != nil {
 		return nil, workflowError(err)
 	}
-	if err := s.intake.Submit(ctx, queue, w); err != nil {
+	if err := s.admitter.Submit(ctx, queue, w); err != nil {
 		return nil, workflowError(err)
 	}
 	m := &pb.SubmitWorkflowResponse{DataCentre: w.DataCentre}
-	s.intake.View(func(r *registrar.Registry) {
-		// A repeat belongs where the first submission went.
+	s.admitter.View(func(r *registrar.Registry) {
+		// A repeated submission keeps the data centre of the first one.
 		if e := r.Workflow(id); e != nil {
 			m.DataCentre = e.Workflow().DataCentre
 		}
@@ -89,10 +89,10 @@
 	return connect.NewResponse(m), nil
 }
 
-// DescribeWorkflow tells what a workflow is and how far it has come.
+// DescribeWorkflow returns a workflow's phase, task counts and steps.
 func (s *WorkflowServer) DescribeWorkflow(_ context.Context, r *connect.Request[pb.DescribeWorkflowRequest]) (*connect.Response[pb.WorkflowDescription], error) {
 	var m *pb.WorkflowDescription
-	s.intake.View(func(reg *registrar.Registry) {
+	s.admitter.View(func(reg *registrar.Registry) {
 		if e := reg.Workflow(briarspring.WorkflowID(r.Msg.GetId())); e != nil {
 			m = describeWorkflow(e)
 			m.Steps = encoder.EncodeSteps(e.Workflow().Steps)
@@ -117,10 +117,10 @@
 	return m
 }
 
-// ListWorkflows lists workflows in order of their IDs.
+// ListWorkflows lists workflows, sorted by ID.
 func (s *WorkflowServer) ListWorkflows(_ context.Context, r *connect.Request[pb.ListWorkflowsRequest]) (*connect.Response[pb.ListWorkflowsResponse], error) {
 	m := &pb.ListWorkflowsResponse{}
-	s.intake.View(func(reg *registrar.Registry) {
+	s.admitter.View(func(reg *registrar.Registry) {
 		reg.Workflows(func(e *registrar.Entry) {
 			if r.Msg.GetQueue() != "" && e.Workflow().Queue != r.Msg.GetQueue() {
 				return
@@ -132,19 +132,19 @@
 		})
 	})
 	slices.SortFunc(m.Workflows, func(a, b *pb.WorkflowDescription) int { return cmp.Compare(a.Id, b.Id) })
-	m.Workflows = m.Workflows[:min(len(m.Workflows), rows(r.Msg.GetLimit()))]
+	m.Workflows = m.Workflows[:min(len(m.Workflows), rowLimit(r.Msg.GetLimit()))]
 	return connect.NewResponse(m), nil
 }
 
-// CancelWorkflows ends workflows. An error may leave some of them cancelled; the
-// call may be repeated.
+// CancelWorkflows cancels workflows. After an error, some of them may have been
+// cancelled; the call can be retried.
 func (s *WorkflowServer) CancelWorkflows(ctx context.Context, r *connect.Request[pb.CancelWorkflowsRequest]) (*connect.Response[pb.CancelWorkflowsResponse], error) {
 	if len(r.Msg.GetIds()) == 0 {
 		return nil, rpcError(&briarspring.InvalidError{Object: "workflows", Reason: "no ID is given"})
 	}
 	m := &pb.CancelWorkflowsResponse{}
 	for _, id := range r.Msg.GetIds() {
-		known, err := s.intake.Cancel(ctx, briarspring.WorkflowID(id))
+		known, err := s.admitter.Cancel(ctx, briarspring.WorkflowID(id))
 		if err != nil {
 			return nil, workflowError(err)
 		}
@@ -157,7 +157,7 @@
 
 // ListQueues lists the queues of the directory.
 func (s *WorkflowServer) ListQueues(context.Context, *connect.Request[pb.ListQueuesRequest]) (*connect.Response[pb.ListQueuesResponse], error) {
-	directory, ok := s.intake.Directory()
+	directory, ok := s.admitter.Directory()
 	if !ok {
 		return nil, workflowError(&admitter.RefusedError{Reason: "no directory was read yet"})
 	}
@@ -166,22 +166,22 @@
 		m.Queues = append(m.Queues, &pb.QueueDescription{
 			Name: q.Name, Host: q.Host, Prefix: q.Prefix, Service: q.Service, Priority: int32(q.Priority),
 			MaxAttempts: int32(q.MaxAttempts), Stretch: q.Stretch, AllowanceMs: q.Allowance.Milliseconds(),
-			Waiting: int32(s.intake.Waiting(q)),
+			Waiting: int32(s.admitter.Waiting(q)),
 		})
 	}
 	return connect.NewResponse(m), nil
 }
 
-// ListOwners lists the data centres with their owners.
+// ListOwners lists the data centres with their owners and load.
 func (s *WorkflowServer) ListOwners(context.Context, *connect.Request[pb.ListOwnersRequest]) (*connect.Response[pb.ListOwnersResponse], error) {
 	m := &pb.ListOwnersResponse{}
-	for _, o := range s.intake.DataCentres() {
+	for _, o := range s.admitter.DataCentres() {
 		m.Owners = append(m.Owners, &pb.OwnerDescription{
 			DataCentre: o.DataCentre, Out: o.Out, BeatAgeMs: o.BeatAge.Milliseconds(),
 			TotalMilliCpu: o.Total, FreeMilliCpu: o.Free, BacklogSeconds: o.Backlog,
 		})
 	}
-	s.intake.View(func(r *registrar.Registry) {
+	s.admitter.View(func(r *registrar.Registry) {
 		for _, o := range m.Owners {
 			claim := r.Claim(o.DataCentre)
 			o.Owner, o.Token = claim.Owner, claim.Token
@@ -193,7 +193,7 @@
 // ListRuns lists the runs in the data centres that this process owns.
 func (s *WorkflowServer) ListRuns(_ context.Context, r *connect.Request[pb.ListRunsRequest]) (*connect.Response[pb.ListRunsResponse], error) {
 	m := &pb.ListRunsResponse{}
-	for _, o := range s.intake.DataCentres() {
+	for _, o := range s.admitter.DataCentres() {
 		owner := s.owners[o.DataCentre]
 		if owner == nil {
 			continue
@@ -203,7 +203,7 @@
 			m.Runs = append(m.Runs, describeRun(o.DataCentre, run))
 		}
 	}
-	m.Runs = m.Runs[:min(len(m.Runs), rows(r.Msg.GetLimit()))]
+	m.Runs = m.Runs[:min(len(m.Runs), rowLimit(r.Msg.GetLimit()))]
 	return connect.NewResponse(m), nil
 }
 
@@ -215,16 +215,16 @@
 	}
 }
 
-// workflowError maps an error of a workflow's call to a code of the protocol. A
-// refused call has no effect; one without an answer may have one.
+// workflowError maps an error of a workflow RPC to a Connect error code. A
+// refused call has no effect; a call without an answer may have taken effect.
 func workflowError(err error) error {
 	var refused *admitter.RefusedError
-	var doubt *briarspring.DoubtError
+	var unknown *briarspring.DoubtError
 	var malformed *encoder.MalformedError
 	switch {
 	case errors.As(err, &refused):
 		return refusalError(refused)
-	case errors.As(err, &doubt):
+	case errors.As(err, &unknown):
 		return connect.NewError(connect.CodeDeadlineExceeded, err)
 	case errors.As(err, &malformed):
 		return connect.NewError(connect.CodeInvalidArgument, err)
@@ -232,7 +232,8 @@
 	return rpcError(err)
 }
 
-// refusalError tells whether and when a retry may be accepted.
+// refusalError returns an error whose code and detail say whether and when a
+// retry may be accepted.
 func refusalError(r *admitter.RefusedError) error {
 	code := connect.CodeUnavailable
 	if r.RetryAfter == 0 {
--- a/operator/workflow_test.go
+++ b/operator/workflow_test.go
@@ -27,84 +27,84 @@
 	Allowance: 250 * time.Millisecond,
 }
 
-// intake accepts workflows into a registry, or fails.
-type intake struct {
-	registry *registrar.Registry
-	next     uint64
-	err      error
+// fakeAdmitter adds workflows to a registry, or returns err if it is set.
+type fakeAdmitter struct {
+	registry   *registrar.Registry
+	nextOffset uint64
+	err        error
 }
 
-func (i *intake) Queue(name string) (briarspring.Queue, error) {
+func (a *fakeAdmitter) Queue(name string) (briarspring.Queue, error) {
 	if name != urgent.Name {
 		return briarspring.Queue{}, &briarspring.NotFoundError{Object: "queue/" + name}
 	}
 	return urgent, nil
 }
 
-func (i *intake) Directory() (briarspring.Directory, bool) {
-	return briarspring.Directory{Version: 7, Queues: []briarspring.Queue{urgent}}, i.err == nil
+func (a *fakeAdmitter) Directory() (briarspring.Directory, bool) {
+	return briarspring.Directory{Version: 7, Queues: []briarspring.Queue{urgent}}, a.err == nil
 }
 
-func (i *intake) DataCentres() []balancer.Option {
+func (a *fakeAdmitter) DataCentres() []balancer.Option {
 	return []balancer.Option{{DataCentre: "tartu", Out: true, BeatAge: 100 * time.Millisecond, Total: 16000, Free: 4000}}
 }
 
-func (i *intake) apply(key string, value []byte) {
-	_, err := i.registry.Apply(0, briarspring.KeyedRecord{Key: key, Value: value, Offset: i.next})
+func (a *fakeAdmitter) apply(key string, value []byte) {
+	_, err := a.registry.Apply(0, briarspring.KeyedRecord{Key: key, Value: value, Offset: a.nextOffset})
 	if err != nil {
 		panic(err)
 	}
-	i.next++
+	a.nextOffset++
 }
 
-func (i *intake) Submit(_ context.Context, q briarspring.Queue, w *briarspring.Workflow) error {
-	if i.err != nil {
-		return i.err
+func (a *fakeAdmitter) Submit(_ context.Context, q briarspring.Queue, w *briarspring.Workflow) error {
+	if a.err != nil {
+		return a.err
 	}
 	w.Queue, w.Stretch, w.Allowance, w.DataCentre, w.Submitted = q.Name, q.Stretch, q.Allowance, "tartu", time.UnixMilli(5000)
 	value, err := encoder.Submission(w)
 	if err != nil {
 		return err
 	}
-	i.apply(registrar.SubmissionKey(w.ID, "1"), value)
+	a.apply(registrar.SubmissionKey(w.ID, "1"), value)
 	return nil
 }
 
-func (i *intake) Cancel(_ context.Context, id briarspring.WorkflowID) (bool, error) {
-	if i.err != nil {
-		return false, i.err
+func (a *fakeAdmitter) Cancel(_ context.Context, id briarspring.WorkflowID) (bool, error) {
+	if a.err != nil {
+		return false, a.err
 	}
-	if i.registry.Workflow(id) == nil {
+	if a.registry.Workflow(id) == nil {
 		return false, nil
 	}
-	i.apply(registrar.CancelKey(id), []byte{1})
+	a.apply(registrar.CancelKey(id), []byte{1})
 	return true, nil
 }
 
-func (i *intake) Waiting(q briarspring.Queue) int { return i.registry.Waiting(q.Name) }
+func (a *fakeAdmitter) Waiting(q briarspring.Queue) int { return a.registry.Waiting(q.Name) }
 
-func (i *intake) View(f func(*registrar.Registry)) { f(i.registry) }
+func (a *fakeAdmitter) View(f func(*registrar.Registry)) { f(a.registry) }
 
-// owner has one run of each workflow that is asked for.
-type owner struct{}
+// fakeOwner reports one run of any requested workflow.
+type fakeOwner struct{}
 
-func (owner) Runs(id briarspring.WorkflowID) ([]dispatcher.RunInfo, bool) {
+func (fakeOwner) Runs(id briarspring.WorkflowID) ([]dispatcher.RunInfo, bool) {
 	return []dispatcher.RunInfo{{
 		Run: briarspring.RunRef{Task: briarspring.TaskRef{Workflow: id, Step: 1, Index: 2}, Run: 3}, Worker: "w1", State: "alive",
 		Age: time.Second, Pace: 40, Image: "fold", Tail: 0.5,
 	}}, true
 }
 
-func serve(t *testing.T) (*intake, briarspringv1connect.WorkflowsClient) {
-	i := &intake{registry: registrar.New()}
+func startServer(t *testing.T) (*fakeAdmitter, briarspringv1connect.WorkflowsClient) {
+	a := &fakeAdmitter{registry: registrar.New()}
 	mux := http.NewServeMux()
-	mux.Handle(briarspringv1connect.NewWorkflowsHandler(operator.NewWorkflowServer(i, map[string]operator.Owner{"tartu": owner{}})))
+	mux.Handle(briarspringv1connect.NewWorkflowsHandler(operator.NewWorkflowServer(a, map[string]operator.Owner{"tartu": fakeOwner{}})))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	return i, briarspringv1connect.NewWorkflowsClient(http.DefaultClient, server.URL)
+	return a, briarspringv1connect.NewWorkflowsClient(http.DefaultClient, server.URL)
 }
 
-func submission(id string) *connect.Request[pb.SubmitWorkflowRequest] {
+func submitRequest(id string) *connect.Request[pb.SubmitWorkflowRequest] {
 	return connect.NewRequest(&pb.SubmitWorkflowRequest{
 		Id: id, Queue: "urgent", Steps: []*pb.WorkflowStep{{Tasks: 2, MilliCpu: 1000, EstimateMs: 800}, {Tasks: 1, MilliCpu: 500, After: []int32{0}}},
 	})
@@ -117,48 +117,48 @@
 }
 
 func TestSubmittingWorkflows(t *testing.T) {
-	t.Run("tells the data centre", func(t *testing.T) {
-		_, client := serve(t)
-		m, err := client.SubmitWorkflow(t.Context(), submission("a"))
+	t.Run("returns the data centre", func(t *testing.T) {
+		_, client := startServer(t)
+		m, err := client.SubmitWorkflow(t.Context(), submitRequest("a"))
 		require.NoError(t, err)
 		assert.Equal(t, "tartu", m.Msg.GetDataCentre())
 	})
-	t.Run("refuses what makes no sense", func(t *testing.T) {
-		_, client := serve(t)
-		_, err := client.SubmitWorkflow(t.Context(), submission("A!"))
+	t.Run("rejects invalid submissions", func(t *testing.T) {
+		_, client := startServer(t)
+		_, err := client.SubmitWorkflow(t.Context(), submitRequest("A!"))
 		assertCode(t, connect.CodeInvalidArgument, err)
-		q := submission("a")
+		q := submitRequest("a")
 		q.Msg.Steps[1].After = []int32{1}
 		_, err = client.SubmitWorkflow(t.Context(), q)
 		assertCode(t, connect.CodeInvalidArgument, err)
-		q = submission("a")
+		q = submitRequest("a")
 		q.Msg.Steps[0].MilliCpu = -1
 		_, err = client.SubmitWorkflow(t.Context(), q)
 		assertCode(t, connect.CodeInvalidArgument, err)
-		q = submission("a")
+		q = submitRequest("a")
 		q.Msg.Recurrence = &pb.Recurrence{Times: 1, IntervalMs: -1}
 		_, err = client.SubmitWorkflow(t.Context(), q)
 		assertCode(t, connect.CodeInvalidArgument, err)
-		q = submission("a")
+		q = submitRequest("a")
 		q.Msg.Recurrence = &pb.Recurrence{Times: briarspring.MaxTasks}
 		_, err = client.SubmitWorkflow(t.Context(), q)
 		assertCode(t, connect.CodeInvalidArgument, err)
-		q = submission("a")
+		q = submitRequest("a")
 		q.Msg.Queue = "none"
 		_, err = client.SubmitWorkflow(t.Context(), q)
 		assertCode(t, connect.CodeNotFound, err)
 	})
-	t.Run("tells a refusal with its time from a doubt", func(t *testing.T) {
-		i, client := serve(t)
-		i.err = &admitter.RefusedError{Reason: "the log is out of reach", RetryAfter: time.Second}
-		_, err := client.SubmitWorkflow(t.Context(), submission("a"))
+	t.Run("distinguishes a refusal from an unknown outcome", func(t *testing.T) {
+		a, client := startServer(t)
+		a.err = &admitter.RefusedError{Reason: "the log is out of reach", RetryAfter: time.Second}
+		_, err := client.SubmitWorkflow(t.Context(), submitRequest("a"))
 		assertCode(t, connect.CodeUnavailable, err)
 		assert.Equal(t, int64(1000), refusal(t, err).GetRetryAfterMs())
-		i.err = &admitter.RefusedError{Reason: "not supported"}
-		_, err = client.SubmitWorkflow(t.Context(), submission("a"))
+		a.err = &admitter.RefusedError{Reason: "not supported"}
+		_, err = client.SubmitWorkflow(t.Context(), submitRequest("a"))
 		assertCode(t, connect.CodeFailedPrecondition, err)
-		i.err = &briarspring.DoubtError{Call: "store", Cause: context.DeadlineExceeded}
-		_, err = client.SubmitWorkflow(t.Context(), submission("a"))
+		a.err = &briarspring.DoubtError{Call: "store", Cause: context.DeadlineExceeded}
+		_, err = client.SubmitWorkflow(t.Context(), submitRequest("a"))
 		assertCode(t, connect.CodeDeadlineExceeded, err)
 	})
 }
@@ -174,8 +174,8 @@
 }
 
 func TestRecurringWorkflow(t *testing.T) {
-	_, client := serve(t)
-	q := submission("nightly")
+	_, client := startServer(t)
+	q := submitRequest("nightly")
 	q.Msg.Recurrence = &pb.Recurrence{Times: 3, FirstDueMs: 1_796_000_000_000, IntervalMs: 60_000}
 	q.Msg.Steps[0].Gang, q.Msg.Steps[0].OneRack, q.Msg.Steps[0].MaxMissing = true, true, 2
 	_, err := client.SubmitWorkflow(t.Context(), q)
@@ -190,12 +190,12 @@
 }
 
 func TestReadingWorkflows(t *testing.T) {
-	i, client := serve(t)
+	a, client := startServer(t)
 	for _, id := range []string{"b", "a", "c"} {
-		_, err := client.SubmitWorkflow(t.Context(), submission(id))
+		_, err := client.SubmitWorkflow(t.Context(), submitRequest(id))
 		require.NoError(t, err)
 	}
-	i.apply(registrar.CancelKey("c"), []byte{1})
+	a.apply(registrar.CancelKey("c"), []byte{1})
 	t.Run("one", func(t *testing.T) {
 		m, err := client.DescribeWorkflow(t.Context(), connect.NewRequest(&pb.DescribeWorkflowRequest{Id: "a"}))
 		require.NoError(t, err)
@@ -207,7 +207,7 @@
 		_, err = client.DescribeWorkflow(t.Context(), connect.NewRequest(&pb.DescribeWorkflowRequest{Id: "none"}))
 		assertCode(t, connect.CodeNotFound, err)
 	})
-	t.Run("many in order, as far as they are asked for", func(t *testing.T) {
+	t.Run("list, sorted and filtered", func(t *testing.T) {
 		assertWorkflows(t, client, &pb.ListWorkflowsRequest{}, "a", "b", "c")
 		assertWorkflows(t, client, &pb.ListWorkflowsRequest{Limit: 1}, "a")
 		assertWorkflows(t, client, &pb.ListWorkflowsRequest{Phase: "cancelled"}, "c")
@@ -251,8 +251,8 @@
 }
 
 func TestCancellingWorkflows(t *testing.T) {
-	i, client := serve(t)
-	_, err := client.SubmitWorkflow(t.Context(), submission("a"))
+	a, client := startServer(t)
+	_, err := client.SubmitWorkflow(t.Context(), submitRequest("a"))
 	require.NoError(t, err)
 	m, err := client.CancelWorkflows(t.Context(), connect.NewRequest(&pb.CancelWorkflowsRequest{Ids: []string{"a", "none"}}))
 	require.NoError(t, err)
@@ -260,7 +260,7 @@
 	assertWorkflows(t, client, &pb.ListWorkflowsRequest{Phase: "cancelled"}, "a")
 	_, err = client.CancelWorkflows(t.Context(), connect.NewRequest(&pb.CancelWorkflowsRequest{}))
 	assertCode(t, connect.CodeInvalidArgument, err)
-	i.err = &admitter.RefusedError{Reason: "the log is out of reach", RetryAfter: time.Second}
+	a.err = &admitter.RefusedError{Reason: "the log is out of reach", RetryAfter: time.Second}
 	_, err = client.CancelWorkflows(t.Context(), connect.NewRequest(&pb.CancelWorkflowsRequest{Ids: []string{"a"}}))
 	assertCode(t, connect.CodeUnavailable, err)
 }
