--- a/cmd/briarspring/certificates.go
+++ b/cmd/briarspring/certificates.go
@@ -11,26 +11,26 @@
 )
 
 type certificatesCmd struct {
-	Folder string        `arg:"" help:"Folder for the files; one folder is made in it for each host."`
+	Folder string        `arg:"" help:"Output folder; each host gets a subfolder."`
 	Hosts  []string      `arg:"" help:"Names of the hosts."`
-	Life   time.Duration `help:"How long the certificates are valid." default:"720h"`
+	Life   time.Duration `help:"Validity period of the certificates." default:"720h"`
 }
 
-// Run makes one authority and a certificate for each host. The authority's key
-// is not kept: new hosts get certificates from a new run.
+// Run creates a certificate authority and a certificate for each host. The
+// authority's key is not stored, so certificates for new hosts need a new run.
 func (c *certificatesCmd) Run() error {
 	authority, err := certifier.NewAuthority()
 	if err != nil {
-		return merry.Prepend(err, "authority can't be made")
+		return merry.Prepend(err, "can't create certificate authority")
 	}
 	for _, host := range c.Hosts {
 		pair, err := authority.Issue(c.Life)
 		if err != nil {
-			return merry.Prependf(err, "certificate of %s can't be made", host)
+			return merry.Prependf(err, "can't create certificate of %s", host)
 		}
 		folder := filepath.Join(c.Folder, host)
 		if err := pair.Write(folder); err != nil {
-			return merry.Prependf(err, "certificate of %s can't be written", host)
+			return merry.Prependf(err, "can't write certificate of %s", host)
 		}
 		fmt.Println(folder)
 	}
--- a/cmd/briarspring/check.go
+++ b/cmd/briarspring/check.go
@@ -9,11 +9,12 @@
 
 type checkCmd struct {
 	File      string `arg:"" optional:"" help:"Settings file (INI)."`
-	Platform  bool   `help:"The file is the platform's settings of a host."`
-	Reference bool   `help:"Print the reference of all settings instead."`
+	Platform  bool   `help:"Check a host's settings file of the platform."`
+	Reference bool   `help:"Print the reference of all settings instead of checking a file."`
 }
 
-// Run checks the file; every fault is printed, and the exit code is 2.
+// Run checks the file. If it has faults, all of them are printed and the exit
+// code is 2.
 func (c *checkCmd) Run() error {
 	if c.Reference {
 		fmt.Print(loader.Reference())
--- a/cmd/briarspring/ctl.go
+++ b/cmd/briarspring/ctl.go
@@ -24,26 +24,26 @@
 )
 
 type ctlCmd struct {
-	Address string        `help:"Address of the operators' port of a scheduler or host." default:"127.0.0.1:7300" env:"BRIARSPRING_OPERATORS"`
+	Address string        `help:"Address of the operators' port of a scheduler or a host." default:"127.0.0.1:7300" env:"BRIARSPRING_OPERATORS"`
 	JSON    bool          `help:"Print JSON for scripts."`
-	Timeout time.Duration `help:"Longest wait for one answer." default:"15s"`
+	Timeout time.Duration `help:"Timeout of one call." default:"15s"`
 
-	Apply       applyCmd       `cmd:"" help:"Create or change the objects of a file."`
+	Apply       applyCmd       `cmd:"" help:"Create or change the objects in a file."`
 	Diff        diffCmd        `cmd:"" help:"Show what apply would change."`
 	List        listCmd        `cmd:"" help:"List objects."`
 	Describe    describeCmd    `cmd:"" help:"Describe one object."`
 	Delete      deleteCmd      `cmd:"" help:"Delete one object."`
-	Cancel      cancelCmd      `cmd:"" help:"Cancel jobs, many at once."`
+	Cancel      cancelCmd      `cmd:"" help:"Cancel one or more jobs."`
 	TakeOut     takeOutCmd     `cmd:"" help:"Take a data centre out of service."`
-	Return      returnCmd      `cmd:"" help:"Bring a data centre back."`
+	Return      returnCmd      `cmd:"" help:"Return a data centre to service."`
 	DeclareLost declareLostCmd `cmd:"" help:"Declare that a worker will never run its tasks again."`
-	Explain     explainCmd     `cmd:"" help:"Tell why a task is where it is, or why it waits."`
-	Watch       watchCmd       `cmd:"" help:"Print decisions as they are taken."`
+	Explain     explainCmd     `cmd:"" help:"Show where a task is, why it waits, and the latest decisions about it."`
+	Watch       watchCmd       `cmd:"" help:"Print scheduling decisions as they are made."`
 	Wait        waitCmd        `cmd:"" help:"Wait until jobs have ended."`
-	Workflow    workflowCmd    `cmd:"" help:"Commands on workflows, which every host serves."`
+	Workflow    workflowCmd    `cmd:"" help:"Commands for workflows; every host serves them."`
 }
 
-// session is one use of the operators' calls.
+// session holds the client, the output format and the streams of one command.
 type session struct {
 	client  briarspringv1connect.OperatorsClient
 	json    bool
@@ -59,7 +59,7 @@
 	}
 }
 
-// DeclinedError tells that the operator did not confirm.
+// DeclinedError means that the operator did not confirm a change.
 type DeclinedError struct{}
 
 // Error implements error.
@@ -85,7 +85,7 @@
 	return exitFailure
 }
 
-// newRequestID names a change, so that repeating the call repeats nothing.
+// newRequestID returns a random ID that makes retries of a change idempotent.
 func newRequestID() string {
 	b := make([]byte, 12)
 	rand.Read(b) //nolint:errcheck // Never fails.
@@ -93,33 +93,33 @@
 }
 
 const (
-	changeTries = 5
-	changePause = 300 * time.Millisecond
+	changeAttempts   = 5
+	changeRetryDelay = 300 * time.Millisecond
 )
 
-// change makes a mutating call. While it is not known whether the change came
-// into force, it asks again with the same request id.
+// change makes a mutating call. While it is unknown whether the change took
+// effect, it retries with the same request ID.
 func change[Q, A any](s *session, call func(context.Context, *connect.Request[Q]) (*connect.Response[A], error), m *Q) (*A, error) {
-	var failure error
-	for range changeTries {
+	var lastErr error
+	for range changeAttempts {
 		ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 		answer, err := call(ctx, connect.NewRequest(m))
 		cancel()
 		if err == nil {
 			return answer.Msg, nil
 		}
-		failure = err
+		lastErr = err
 		code := connect.CodeOf(err)
 		if code != connect.CodeUnavailable && code != connect.CodeDeadlineExceeded {
 			break
 		}
-		time.Sleep(changePause)
+		time.Sleep(changeRetryDelay)
 	}
-	return nil, failure
+	return nil, lastErr
 }
 
-// ask makes a reading call.
-func ask[Q, A any](s *session, call func(context.Context, *connect.Request[Q]) (*connect.Response[A], error), m *Q) (*A, error) {
+// query makes a read-only call.
+func query[Q, A any](s *session, call func(context.Context, *connect.Request[Q]) (*connect.Response[A], error), m *Q) (*A, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 	defer cancel()
 	answer, err := call(ctx, connect.NewRequest(m))
@@ -129,7 +129,7 @@
 	return answer.Msg, nil
 }
 
-// confirm asks the operator before a destructive call.
+// confirm asks the operator to confirm a destructive call, unless yes is set.
 func (s *session) confirm(yes bool, what string) error {
 	if yes {
 		return nil
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// print prints a message as JSON, or the table that the function writes.
+// print prints a message as JSON, or the table that the given function writes.
 func (s *session) print(m proto.Message, table func(w *tabwriter.Writer)) error {
 	if s.json {
 		data, err := protojson.Marshal(m)
@@ -162,7 +162,7 @@
 	return w.Flush()
 }
 
-func row(w io.Writer, cells ...any) {
+func writeRow(w io.Writer, cells ...any) {
 	for i, c := range cells {
 		if i > 0 {
 			fmt.Fprint(w, "\t")
--- a/cmd/briarspring/ctl_apply.go
+++ b/cmd/briarspring/ctl_apply.go
@@ -21,33 +21,33 @@
 	File string `arg:"" help:"File of objects (INI)." type:"existingfile"`
 }
 
-// step is what must be done with one object of a file.
-type step struct {
+// plannedChange is what apply does with one object of a file.
+type plannedChange struct {
 	object  string // Kind and name.
-	version uint64 // In force; zero when the object does not exist.
+	version uint64 // Current version; zero if the object does not exist.
 	old     proto.Message
-	wanted  proto.Message
+	desired proto.Message
 	apply   func(s *session) (*pb.ChangeResponse, error)
 }
 
-func (x step) verb() string {
+func (x plannedChange) verb() string {
 	switch {
 	case x.version == 0:
 		return "create"
-	case proto.Equal(x.old, x.wanted):
+	case proto.Equal(x.old, x.desired):
 		return "keep"
 	}
 	return "change"
 }
 
-// Run applies the file, object by object, in its order.
+// Run applies the objects one by one, in the order of the file.
 func (c *applyCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	steps, err := plan(s, c.File)
+	changes, err := planChanges(s, c.File)
 	if err != nil {
 		return err
 	}
-	for _, x := range steps {
+	for _, x := range changes {
 		if x.verb() == "keep" {
 			fmt.Fprintf(s.out, "%s: unchanged at version %d\n", x.object, x.version)
 			continue
@@ -64,28 +64,28 @@
 // Run prints what apply would do.
 func (c *diffCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	steps, err := plan(s, c.File)
+	changes, err := planChanges(s, c.File)
 	if err != nil {
 		return err
 	}
-	for _, x := range steps {
+	for _, x := range changes {
 		fmt.Fprintf(s.out, "%s %s\n", x.verb(), x.object)
 		if x.verb() == "change" {
-			fmt.Fprintf(s.out, "  - %s\n  + %s\n", prototext.Format(x.old), prototext.Format(x.wanted))
+			fmt.Fprintf(s.out, "  - %s\n  + %s\n", prototext.Format(x.old), prototext.Format(x.desired))
 		}
 	}
 	return nil
 }
 
-// plan compares the file with what is in force.
-func plan(s *session, path string) ([]step, error) {
+// planChanges compares the file with the current objects.
+func planChanges(s *session, path string) ([]plannedChange, error) {
 	objects, err := declarer.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	var steps []step
+	var changes []plannedChange
 	for _, o := range objects {
-		var x step
+		var x plannedChange
 		switch {
 		case o.Service != nil:
 			x, err = planService(s, encoder.EncodeService(*o.Service))
@@ -97,23 +97,23 @@
 		if err != nil {
 			return nil, err
 		}
-		steps = append(steps, x)
+		changes = append(changes, x)
 	}
-	return steps, nil
+	return changes, nil
 }
 
-// find describes an object; nil when it does not exist.
+// find returns the description of an object, or nil if it does not exist.
 func find[A any](s *session, call func(context.Context, *connect.Request[pb.DescribeRequest]) (*connect.Response[A], error), name string) (*A, error) {
-	m, err := ask(s, call, &pb.DescribeRequest{Name: name})
+	m, err := query(s, call, &pb.DescribeRequest{Name: name})
 	if connect.CodeOf(err) == connect.CodeNotFound {
 		return nil, nil
 	}
 	return m, err
 }
 
-func planService(s *session, m *pb.Service) (step, error) {
+func planService(s *session, m *pb.Service) (plannedChange, error) {
 	old, err := find(s, s.client.DescribeService, m.GetName())
-	x := step{object: "service/" + m.GetName(), version: old.GetVersion(), old: old.GetService(), wanted: m}
+	x := plannedChange{object: "service/" + m.GetName(), version: old.GetVersion(), old: old.GetService(), desired: m}
 	id := newRequestID()
 	x.apply = func(s *session) (*pb.ChangeResponse, error) {
 		if x.version == 0 {
@@ -126,9 +126,9 @@
 	return x, err
 }
 
-func planJob(s *session, m *pb.Job) (step, error) {
+func planJob(s *session, m *pb.Job) (plannedChange, error) {
 	old, err := find(s, s.client.DescribeJob, m.GetName())
-	x := step{object: "job/" + m.GetName(), version: old.GetVersion(), old: old.GetJob(), wanted: m}
+	x := plannedChange{object: "job/" + m.GetName(), version: old.GetVersion(), old: old.GetJob(), desired: m}
 	id := newRequestID()
 	x.apply = func(s *session) (*pb.ChangeResponse, error) {
 		if x.version == 0 {
@@ -139,9 +139,9 @@
 	return x, err
 }
 
-func planQuota(s *session, m *pb.Quota) (step, error) {
+func planQuota(s *session, m *pb.Quota) (plannedChange, error) {
 	old, err := find(s, s.client.DescribeQuota, m.GetTeam())
-	x := step{object: "quota/" + m.GetTeam(), version: old.GetVersion(), old: old.GetQuota(), wanted: m}
+	x := plannedChange{object: "quota/" + m.GetTeam(), version: old.GetVersion(), old: old.GetQuota(), desired: m}
 	id := newRequestID()
 	x.apply = func(s *session) (*pb.ChangeResponse, error) {
 		if x.version == 0 {
--- a/cmd/briarspring/ctl_change.go
+++ b/cmd/briarspring/ctl_change.go
@@ -11,15 +11,15 @@
 )
 
 type deleteCmd struct {
-	Kind string `arg:"" help:"One of service, job, quota." enum:"service,job,quota"`
+	Kind string `arg:"" help:"Kind of the object: service, job or quota." enum:"service,job,quota"`
 	Name string `arg:"" help:"Name of the object."`
-	Yes  bool   `help:"Don't ask."`
+	Yes  bool   `help:"Skip the confirmation."`
 }
 
-// Run deletes the version of the object that is in force now.
+// Run deletes the object, unless its version changes meanwhile.
 func (c *deleteCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	version, err := c.version(s)
+	version, err := c.currentVersion(s)
 	if err != nil {
 		return err
 	}
@@ -41,23 +41,23 @@
 	return nil
 }
 
-func (c *deleteCmd) version(s *session) (uint64, error) {
+func (c *deleteCmd) currentVersion(s *session) (uint64, error) {
 	q := &pb.DescribeRequest{Name: c.Name}
 	switch c.Kind {
 	case "service":
-		m, err := ask(s, s.client.DescribeService, q)
+		m, err := query(s, s.client.DescribeService, q)
 		return m.GetVersion(), err
 	case "job":
-		m, err := ask(s, s.client.DescribeJob, q)
+		m, err := query(s, s.client.DescribeJob, q)
 		return m.GetVersion(), err
 	}
-	m, err := ask(s, s.client.DescribeQuota, q)
+	m, err := query(s, s.client.DescribeQuota, q)
 	return m.GetVersion(), err
 }
 
 type cancelCmd struct {
 	Names []string `arg:"" help:"Names of jobs."`
-	Yes   bool     `help:"Don't ask."`
+	Yes   bool     `help:"Skip the confirmation."`
 }
 
 // Run cancels the jobs with one record.
@@ -76,7 +76,7 @@
 
 type takeOutCmd struct {
 	DataCentre string `arg:"" help:"Name of the data centre."`
-	Yes        bool   `help:"Don't ask."`
+	Yes        bool   `help:"Skip the confirmation."`
 }
 
 // Run takes the data centre out of service.
@@ -85,20 +85,20 @@
 	if err := s.confirm(c.Yes, "Take "+c.DataCentre+" out of service"); err != nil {
 		return err
 	}
-	return setDataCentre(s, c.DataCentre, true)
+	return setOutOfService(s, c.DataCentre, true)
 }
 
 type returnCmd struct {
 	DataCentre string `arg:"" help:"Name of the data centre."`
 }
 
-// Run brings the data centre back.
+// Run returns the data centre to service.
 func (c *returnCmd) Run(ctl *ctlCmd) error {
-	return setDataCentre(ctl.session(), c.DataCentre, false)
+	return setOutOfService(ctl.session(), c.DataCentre, false)
 }
 
-func setDataCentre(s *session, name string, out bool) error {
-	list, err := ask(s, s.client.ListDataCentres, &pb.ListDataCentresRequest{})
+func setOutOfService(s *session, name string, out bool) error {
+	list, err := query(s, s.client.ListDataCentres, &pb.ListDataCentresRequest{})
 	if err != nil {
 		return err
 	}
@@ -127,10 +127,11 @@
 
 type declareLostCmd struct {
 	Worker string `arg:"" help:"Name of the worker."`
-	Yes    bool   `help:"Don't ask."`
+	Yes    bool   `help:"Skip the confirmation."`
 }
 
-// Run gives the operator's word that the worker runs nothing any more.
+// Run declares, on the operator's authority, that the worker runs nothing any
+// more.
 func (c *declareLostCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
 	if err := s.confirm(c.Yes, "Declare that "+c.Worker+" is lost, so that its tasks start elsewhere"); err != nil {
--- a/cmd/briarspring/ctl_list.go
+++ b/cmd/briarspring/ctl_list.go
@@ -14,7 +14,7 @@
 	Quotas      listQuotasCmd      `cmd:"" help:"List teams' quotas."`
 	DataCentres listDataCentresCmd `cmd:"" help:"List data centres."`
 	Workers     listWorkersCmd     `cmd:"" help:"List the workers of the answering scheduler's data centre."`
-	Tasks       listTasksCmd       `cmd:"" help:"List the tasks that the answering scheduler's data centre holds."`
+	Tasks       listTasksCmd       `cmd:"" help:"List the tasks in the answering scheduler's data centre."`
 }
 
 type (
@@ -25,21 +25,21 @@
 	listWorkersCmd     struct{}
 	listTasksCmd       struct {
 		Workload string `arg:"" optional:"" help:"Only tasks of this service or job."`
-		Limit    uint32 `help:"Rows at most." default:"1000"`
+		Limit    uint32 `help:"Maximum number of rows." default:"1000"`
 	}
 )
 
 // Run prints all services.
 func (listServicesCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	m, err := ask(s, s.client.ListServices, &pb.ListServicesRequest{})
+	m, err := query(s, s.client.ListServices, &pb.ListServicesRequest{})
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "SERVICE", "TEAM", "PREFIX", "EXECUTORS", "RUNNING", "VERSION", "PROBLEM")
+		writeRow(w, "SERVICE", "TEAM", "PREFIX", "EXECUTORS", "RUNNING", "VERSION", "PROBLEM")
 		for _, d := range m.GetServices() {
-			row(w, d.GetService().GetName(), d.GetService().GetTeam(), d.GetService().GetPrefix(),
+			writeRow(w, d.GetService().GetName(), d.GetService().GetTeam(), d.GetService().GetPrefix(),
 				d.GetService().GetExecutors(), totals(d.GetProgress()).GetRunning(), d.GetVersion(), d.GetProblem())
 		}
 	})
@@ -61,15 +61,15 @@
 // Run prints all jobs.
 func (listJobsCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	m, err := ask(s, s.client.ListJobs, &pb.ListJobsRequest{})
+	m, err := query(s, s.client.ListJobs, &pb.ListJobsRequest{})
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "JOB", "TEAM", "STATE", "WEIGHT", "TASKS", "RUNNING", "DONE", "FAILED", "EVICTIONS", "VERSION", "PROBLEM")
+		writeRow(w, "JOB", "TEAM", "STATE", "WEIGHT", "TASKS", "RUNNING", "DONE", "FAILED", "EVICTIONS", "VERSION", "PROBLEM")
 		for _, d := range m.GetJobs() {
 			p := totals(d.GetProgress())
-			row(w, d.GetJob().GetName(), d.GetJob().GetTeam(), d.GetState(), d.GetJob().GetWeight(), d.GetJob().GetTasks(),
+			writeRow(w, d.GetJob().GetName(), d.GetJob().GetTeam(), d.GetState(), d.GetJob().GetWeight(), d.GetJob().GetTasks(),
 				p.GetRunning(), p.GetDone(), p.GetFailed(), p.GetEvictions(), d.GetVersion(), d.GetProblem())
 		}
 	})
@@ -78,37 +78,37 @@
 // Run prints all quotas.
 func (listQuotasCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	m, err := ask(s, s.client.ListQuotas, &pb.ListQuotasRequest{})
+	m, err := query(s, s.client.ListQuotas, &pb.ListQuotasRequest{})
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "TEAM", "RESOURCES", "REQUESTS/S", "VERSION")
+		writeRow(w, "TEAM", "RESOURCES", "REQUESTS/S", "VERSION")
 		for _, d := range m.GetQuotas() {
-			row(w, d.GetQuota().GetTeam(), amount(d.GetQuota().GetResources()),
+			writeRow(w, d.GetQuota().GetTeam(), formatResources(d.GetQuota().GetResources()),
 				d.GetQuota().GetRequestsPerSecond(), d.GetVersion())
 		}
 	})
 }
 
-func amount(m *pb.Resources) string { return encoder.DecodeResources(m).String() }
+func formatResources(m *pb.Resources) string { return encoder.DecodeResources(m).String() }
 
 // Run prints all data centres.
 func (listDataCentresCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	m, err := ask(s, s.client.ListDataCentres, &pb.ListDataCentresRequest{})
+	m, err := query(s, s.client.ListDataCentres, &pb.ListDataCentresRequest{})
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "DATA CENTRE", "STATE", "OWNER", "WORKERS", "COMMITTED", "CAPACITY", "VERSION")
+		writeRow(w, "DATA CENTRE", "STATE", "OWNER", "WORKERS", "COMMITTED", "CAPACITY", "VERSION")
 		for _, d := range m.GetDataCentres() {
 			state := "in service"
 			if d.GetOut() {
 				state = "out of service"
 			}
-			row(w, d.GetName(), state, d.GetOwner(), d.GetWorkers(), amount(d.GetCommitted()),
-				amount(d.GetCapacity()), d.GetVersion())
+			writeRow(w, d.GetName(), state, d.GetOwner(), d.GetWorkers(), formatResources(d.GetCommitted()),
+				formatResources(d.GetCapacity()), d.GetVersion())
 		}
 	})
 }
@@ -116,14 +116,14 @@
 // Run prints the workers of one data centre.
 func (listWorkersCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	m, err := ask(s, s.client.ListWorkers, &pb.ListWorkersRequest{})
+	m, err := query(s, s.client.ListWorkers, &pb.ListWorkersRequest{})
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "WORKER", "RACK", "STATE", "TASKS", "COMMITTED", "CAPACITY")
+		writeRow(w, "WORKER", "RACK", "STATE", "TASKS", "COMMITTED", "CAPACITY")
 		for _, d := range m.GetWorkers() {
-			row(w, d.GetName(), d.GetRack(), d.GetState(), d.GetTasks(), amount(d.GetCommitted()), amount(d.GetCapacity()))
+			writeRow(w, d.GetName(), d.GetRack(), d.GetState(), d.GetTasks(), formatResources(d.GetCommitted()), formatResources(d.GetCapacity()))
 		}
 	})
 }
@@ -131,12 +131,12 @@
 // Run prints the tasks of one data centre.
 func (c *listTasksCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	m, err := ask(s, s.client.ListTasks, &pb.ListTasksRequest{Workload: c.Workload, Limit: c.Limit})
+	m, err := query(s, s.client.ListTasks, &pb.ListTasksRequest{Workload: c.Workload, Limit: c.Limit})
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "TASK", "ATTEMPT", "STATE", "WORKER", "ADDRESS")
+		writeRow(w, "TASK", "ATTEMPT", "STATE", "WORKER", "ADDRESS")
 		for _, t := range m.GetTasks() {
 			printTask(w, t)
 		}
@@ -144,11 +144,11 @@
 }
 
 func printTask(w *tabwriter.Writer, t *pb.TaskDescription) {
-	row(w, fmt.Sprintf("%s/%d", t.GetWorkload(), t.GetIndex()), t.GetAttempt(), t.GetState(), t.GetWorker(), t.GetAddress())
+	writeRow(w, fmt.Sprintf("%s/%d", t.GetWorkload(), t.GetIndex()), t.GetAttempt(), t.GetState(), t.GetWorker(), t.GetAddress())
 }
 
 type describeCmd struct {
-	Kind string `arg:"" help:"One of service, job, quota." enum:"service,job,quota"`
+	Kind string `arg:"" help:"Kind of the object: service, job or quota." enum:"service,job,quota"`
 	Name string `arg:"" help:"Name of the object."`
 }
 
@@ -158,46 +158,46 @@
 	q := &pb.DescribeRequest{Name: c.Name}
 	switch c.Kind {
 	case "service":
-		m, err := ask(s, s.client.DescribeService, q)
+		m, err := query(s, s.client.DescribeService, q)
 		if err != nil {
 			return err
 		}
 		return s.print(m, func(w *tabwriter.Writer) {
-			row(w, "service", m.GetService().GetName())
-			row(w, "version", m.GetVersion())
-			row(w, "executors", m.GetService().GetExecutors())
-			row(w, "needs of one", amount(m.GetService().GetResources()))
+			writeRow(w, "service", m.GetService().GetName())
+			writeRow(w, "version", m.GetVersion())
+			writeRow(w, "executors", m.GetService().GetExecutors())
+			writeRow(w, "resources per executor", formatResources(m.GetService().GetResources()))
 			printProgress(w, m.GetProgress())
 		})
 	case "job":
-		m, err := ask(s, s.client.DescribeJob, q)
+		m, err := query(s, s.client.DescribeJob, q)
 		if err != nil {
 			return err
 		}
 		return s.print(m, func(w *tabwriter.Writer) {
-			row(w, "job", m.GetJob().GetName())
-			row(w, "version", m.GetVersion())
-			row(w, "state", m.GetState())
-			row(w, "tasks", m.GetJob().GetTasks())
-			row(w, "needs of one", amount(m.GetJob().GetResources()))
+			writeRow(w, "job", m.GetJob().GetName())
+			writeRow(w, "version", m.GetVersion())
+			writeRow(w, "state", m.GetState())
+			writeRow(w, "tasks", m.GetJob().GetTasks())
+			writeRow(w, "resources per task", formatResources(m.GetJob().GetResources()))
 			printProgress(w, m.GetProgress())
 		})
 	}
-	m, err := ask(s, s.client.DescribeQuota, q)
+	m, err := query(s, s.client.DescribeQuota, q)
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "team", m.GetQuota().GetTeam())
-		row(w, "version", m.GetVersion())
-		row(w, "resources", amount(m.GetQuota().GetResources()))
-		row(w, "requests/s", m.GetQuota().GetRequestsPerSecond())
+		writeRow(w, "team", m.GetQuota().GetTeam())
+		writeRow(w, "version", m.GetVersion())
+		writeRow(w, "resources", formatResources(m.GetQuota().GetResources()))
+		writeRow(w, "requests/s", m.GetQuota().GetRequestsPerSecond())
 	})
 }
 
 func printProgress(w *tabwriter.Writer, list []*pb.Progress) {
 	for _, p := range list {
-		row(w, "in "+p.GetDataCentre(), fmt.Sprintf("%d assigned, %d running, %d done, %d failed, %d evictions",
+		writeRow(w, "in "+p.GetDataCentre(), fmt.Sprintf("%d assigned, %d running, %d done, %d failed, %d evictions",
 			p.GetAssigned(), p.GetRunning(), p.GetDone(), p.GetFailed(), p.GetEvictions()))
 	}
 }
--- a/cmd/briarspring/ctl_watch.go
+++ b/cmd/briarspring/ctl_watch.go
@@ -22,21 +22,21 @@
 	Index    uint32 `arg:"" help:"Index of the task."`
 }
 
-// Run prints where the task is and the last decisions on it.
+// Run prints where the task is and the latest decisions about it.
 func (c *explainCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	m, err := ask(s, s.client.ExplainTask, &pb.ExplainTaskRequest{Workload: c.Workload, Index: c.Index})
+	m, err := query(s, s.client.ExplainTask, &pb.ExplainTaskRequest{Workload: c.Workload, Index: c.Index})
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "TASK", "ATTEMPT", "STATE", "WORKER", "ADDRESS")
+		writeRow(w, "TASK", "ATTEMPT", "STATE", "WORKER", "ADDRESS")
 		printTask(w, m.GetTask())
 		if m.GetWaiting() != "" {
-			row(w, "waits: "+m.GetWaiting())
+			writeRow(w, "waits: "+m.GetWaiting())
 		}
 		for _, d := range m.GetDecisions() {
-			row(w, formatDecision(d))
+			writeRow(w, formatDecision(d))
 		}
 	})
 }
@@ -55,7 +55,7 @@
 }
 
 type watchCmd struct {
-	Workload string `arg:"" optional:"" help:"Only decisions on this service or job."`
+	Workload string `arg:"" optional:"" help:"Only decisions about this service or job."`
 }
 
 // Run prints decisions until it is interrupted.
@@ -85,25 +85,25 @@
 
 type waitCmd struct {
 	Names []string      `arg:"" help:"Names of jobs."`
-	Limit time.Duration `help:"Longest wait." default:"1h"`
+	Limit time.Duration `help:"Maximum time to wait." default:"1h"`
 }
 
 const (
 	waitInterval = 500 * time.Millisecond
-	// inForceTime is how long another scheduler may take to know a job that was
-	// just created.
-	inForceTime = 3 * time.Second
+	// propagationTime is how long another scheduler or host may take to learn of
+	// a new job or workflow.
+	propagationTime = 3 * time.Second
 )
 
-// Run waits until the jobs have ended and fails when one did not finish.
+// Run waits until all jobs have ended, and fails unless all are done.
 func (c *waitCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	begin := time.Now()
-	until := begin.Add(c.Limit)
+	start := time.Now()
+	deadline := start.Add(c.Limit)
 	last := ""
 	for {
 		states, line, err := jobStates(s, c.Names)
-		if connect.CodeOf(err) == connect.CodeNotFound && time.Since(begin) < inForceTime {
+		if connect.CodeOf(err) == connect.CodeNotFound && time.Since(start) < propagationTime {
 			time.Sleep(waitInterval)
 			continue
 		}
@@ -114,15 +114,15 @@
 			fmt.Fprintln(os.Stderr, line)
 			last = line
 		}
-		open := slices.ContainsFunc(states, func(state string) bool { return state == "waiting" || state == "running" })
-		if !open {
+		unfinished := slices.ContainsFunc(states, func(state string) bool { return state == "waiting" || state == "running" })
+		if !unfinished {
 			if i := slices.IndexFunc(states, func(state string) bool { return state != "done" }); i >= 0 {
 				return merry.Errorf("job/%s: %s", c.Names[i], states[i])
 			}
 			return nil
 		}
-		if time.Now().After(until) {
-			return merry.Errorf("jobs have not ended after %s", c.Limit)
+		if time.Now().After(deadline) {
+			return merry.Errorf("jobs still unfinished after %s", c.Limit)
 		}
 		time.Sleep(waitInterval)
 	}
@@ -131,7 +131,7 @@
 func jobStates(s *session, names []string) (states []string, line string, err error) {
 	var parts []string
 	for _, name := range names {
-		m, err := ask(s, s.client.DescribeJob, &pb.DescribeRequest{Name: name})
+		m, err := query(s, s.client.DescribeJob, &pb.DescribeRequest{Name: name})
 		if err != nil {
 			return nil, "", err
 		}
--- a/cmd/briarspring/ctl_workflow.go
+++ b/cmd/briarspring/ctl_workflow.go
@@ -19,17 +19,17 @@
 )
 
 type workflowCmd struct {
-	Submit   submitWorkflowCmd   `cmd:"" help:"Submit the workflow of a file; a repeat with the same name has no effect."`
+	Submit   submitWorkflowCmd   `cmd:"" help:"Submit the workflow in a file; submitting the same name again has no effect."`
 	List     listWorkflowsCmd    `cmd:"" help:"List workflows."`
 	Describe describeWorkflowCmd `cmd:"" help:"Describe one workflow and its steps."`
-	Cancel   cancelWorkflowsCmd  `cmd:"" help:"Cancel workflows, many at once."`
+	Cancel   cancelWorkflowsCmd  `cmd:"" help:"Cancel one or more workflows."`
 	Wait     waitWorkflowsCmd    `cmd:"" help:"Wait until workflows have ended."`
 	Runs     listRunsCmd         `cmd:"" help:"List the runs in the data centres that the answering host owns, with their pace."`
-	Queues   listQueuesCmd       `cmd:"" help:"List queues with their priority, objective and what waits."`
+	Queues   listQueuesCmd       `cmd:"" help:"List queues with their priority, objective and number of waiting workflows."`
 	Owners   listOwnersCmd       `cmd:"" help:"List data centres with their owners and load."`
 }
 
-// workflows returns the client of the calls on workflows.
+// workflows returns a client for the workflow RPCs.
 func (c *ctlCmd) workflows() briarspringv1connect.WorkflowsClient {
 	return briarspringv1connect.NewWorkflowsClient(http.DefaultClient, "http://"+c.Address)
 }
@@ -39,8 +39,8 @@
 	ID   string `help:"Name of the workflow, instead of the one in the file."`
 }
 
-// Run submits the workflow. A call without an answer is repeated, which is safe
-// since the name makes it the same workflow.
+// Run submits the workflow. A call without an answer is retried, which is safe
+// because a workflow is identified by its name.
 func (c *submitWorkflowCmd) Run(ctl *ctlCmd) error {
 	w, err := declarer.LoadWorkflow(c.File)
 	if err != nil {
@@ -64,29 +64,30 @@
 }
 
 type listWorkflowsCmd struct {
-	Queue string `help:"Only those of this queue."`
-	Phase string `help:"Only those in this phase." enum:",queued,running,completed,failed,cancelled" default:""`
-	Limit int32  `help:"Rows at most." default:"1000"`
+	Queue string `help:"Only workflows in this queue."`
+	Phase string `help:"Only workflows in this phase." enum:",queued,running,completed,failed,cancelled" default:""`
+	Limit int32  `help:"Maximum number of rows." default:"1000"`
 }
 
 // Run prints workflows.
 func (c *listWorkflowsCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	m, err := ask(s, ctl.workflows().ListWorkflows, &pb.ListWorkflowsRequest{Queue: c.Queue, Phase: c.Phase, Limit: c.Limit})
+	m, err := query(s, ctl.workflows().ListWorkflows, &pb.ListWorkflowsRequest{Queue: c.Queue, Phase: c.Phase, Limit: c.Limit})
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "WORKFLOW", "QUEUE", "PHASE", "PRIORITY", "TASKS", "OBJECTIVE", "DATA CENTRES")
+		writeRow(w, "WORKFLOW", "QUEUE", "PHASE", "PRIORITY", "TASKS", "OBJECTIVE", "DATA CENTRES")
 		for _, d := range m.GetWorkflows() {
-			row(w, d.GetId(), d.GetQueue(), d.GetPhase(), d.GetPriority(), d.GetTasks(), milliseconds(d.GetObjectiveMs()), tasksIn(d))
+			writeRow(w, d.GetId(), d.GetQueue(), d.GetPhase(), d.GetPriority(), d.GetTasks(), milliseconds(d.GetObjectiveMs()), tasksIn(d))
 		}
 	})
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// tasksIn tells how many tasks each data centre runs.
+// tasksIn returns the data centre of all tasks, or the number of tasks in each
+// data centre if there are several.
 func tasksIn(d *pb.WorkflowDescription) string {
 	if len(d.GetTasksIn()) == 1 {
 		for name := range d.GetTasksIn() {
@@ -107,38 +108,38 @@
 // Run prints one workflow.
 func (c *describeWorkflowCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	m, err := ask(s, ctl.workflows().DescribeWorkflow, &pb.DescribeWorkflowRequest{Id: c.ID})
+	m, err := query(s, ctl.workflows().DescribeWorkflow, &pb.DescribeWorkflowRequest{Id: c.ID})
 	if err != nil {
 		return err
 	}
 	return s.print(m, func(w *tabwriter.Writer) {
-		row(w, "workflow", m.GetId())
-		row(w, "queue", m.GetQueue())
-		row(w, "phase", m.GetPhase())
-		row(w, "submitted", time.UnixMilli(m.GetSubmittedMs()).Format(time.RFC3339))
-		row(w, "objective", milliseconds(m.GetObjectiveMs()))
-		row(w, "runs in", tasksIn(m))
+		writeRow(w, "workflow", m.GetId())
+		writeRow(w, "queue", m.GetQueue())
+		writeRow(w, "phase", m.GetPhase())
+		writeRow(w, "submitted", time.UnixMilli(m.GetSubmittedMs()).Format(time.RFC3339))
+		writeRow(w, "objective", milliseconds(m.GetObjectiveMs()))
+		writeRow(w, "runs in", tasksIn(m))
 		if r := m.GetRecurrence(); r != nil {
-			row(w, "occurrences", recurrenceText(r))
+			writeRow(w, "occurrences", recurrenceText(r))
 		}
 		for i, step := range m.GetSteps() {
-			row(w, fmt.Sprintf("step %d", i), stepText(step))
+			writeRow(w, fmt.Sprintf("step %d", i), stepText(step))
 		}
 	})
 }
 
-// recurrenceText tells how often and when steps run.
+// recurrenceText describes how often and when a recurring workflow runs.
 func recurrenceText(m *pb.Recurrence) string {
 	return fmt.Sprintf("%d, from %s on, every %s", m.GetTimes(),
 		time.UnixMilli(m.GetFirstDueMs()).Format(time.RFC3339), milliseconds(m.GetIntervalMs()))
 }
 
-// stepText tells what a step needs and how its tasks behave.
+// stepText describes a step's resources and options.
 func stepText(m *pb.WorkflowStep) string {
-	text := fmt.Sprintf("%d tasks of %s, %s", m.GetTasks(), amount(&pb.Resources{
+	text := fmt.Sprintf("%d tasks of %s, %s", m.GetTasks(), formatResources(&pb.Resources{
 		MilliCpu: m.GetMilliCpu(), MemoryMib: m.GetMemoryMib(), Accelerators: m.GetAccelerators(),
 	}), milliseconds(m.GetEstimateMs()))
-	for _, trait := range []struct {
+	for _, option := range []struct {
 		set  bool
 		text string
 	}{
@@ -155,8 +156,8 @@
 		{m.GetOneRack(), "best on one rack"},
 		{m.GetMaxMissing() > 0, fmt.Sprintf("at most %d stopped at a time", m.GetMaxMissing())},
 	} {
-		if trait.set {
-			text += ", " + trait.text
+		if option.set {
+			text += ", " + option.text
 		}
 	}
 	return text
@@ -164,7 +165,7 @@
 
 type cancelWorkflowsCmd struct {
 	IDs []string `arg:"" name:"id" help:"Names of workflows."`
-	Yes bool     `help:"Don't ask."`
+	Yes bool     `help:"Skip the confirmation."`
 }
 
 // Run cancels the workflows.
--- a/cmd/briarspring/ctl_workflow_test.go
+++ b/cmd/briarspring/ctl_workflow_test.go
@@ -14,7 +14,8 @@
 	"briarspring/demonstrator"
 )
 
-// ctl runs a command and returns what it printed and its exit code.
+// ctl runs a workflow command and returns its output, or its error, and its exit
+// code.
 func ctl(t *testing.T, address string, args ...string) (string, int) {
 	t.Helper()
 	var c cli
--- a/cmd/briarspring/ctl_workflow_wait.go
+++ b/cmd/briarspring/ctl_workflow_wait.go
@@ -12,10 +12,10 @@
 
 type waitWorkflowsCmd struct {
 	IDs   []string      `arg:"" name:"id" help:"Names of workflows."`
-	Limit time.Duration `help:"Longest wait." default:"1h"`
+	Limit time.Duration `help:"Maximum time to wait." default:"1h"`
 }
 
-// FailedWorkflowsError tells which workflows did not complete.
+// FailedWorkflowsError lists the workflows that did not complete.
 type FailedWorkflowsError struct {
 	Phases []string // Name and phase of each.
 }
@@ -28,10 +28,10 @@
 // Run waits until all workflows have ended, and fails unless all completed.
 func (c *waitWorkflowsCmd) Run(ctl *ctlCmd) error {
 	s := ctl.session()
-	begin := time.Now()
+	start := time.Now()
 	failed := &FailedWorkflowsError{}
 	for _, id := range c.IDs {
-		phase, err := waitWorkflow(s, ctl, id, begin, c.Limit)
+		phase, err := waitWorkflow(s, ctl, id, start, c.Limit)
 		if err != nil {
 			return err
 		}
@@ -45,12 +45,12 @@
 	return nil
 }
 
-// waitWorkflow returns the phase of a workflow once it is final, or the last one
-// when the limit is over.
-func waitWorkflow(s *session, ctl *ctlCmd, id string, begin time.Time, limit time.Duration) (string, error) {
+// waitWorkflow returns the phase of a workflow once it is final, or "still" and
+// its current phase once the limit has passed.
+func waitWorkflow(s *session, ctl *ctlCmd, id string, start time.Time, limit time.Duration) (string, error) {
 	for {
-		m, err := ask(s, ctl.workflows().DescribeWorkflow, &pb.DescribeWorkflowRequest{Id: id})
-		missing := connect.CodeOf(err) == connect.CodeNotFound && time.Since(begin) < inForceTime
+		m, err := query(s, ctl.workflows().DescribeWorkflow, &pb.DescribeWorkflowRequest{Id: id})
+		missing := connect.CodeOf(err) == connect.CodeNotFound && time.Since(start) < propagationTime
 		if err != nil && !missing {
 			return "", err
 		}
@@ -58,7 +58,7 @@
 		case briarspring.PhaseCompleted.String(), briarspring.PhaseFailed.String(), briarspring.PhaseCancelled.String():
 			return phase, nil
 		default:
-			if time.Since(begin) > limit {
+			if time.Since(start) > limit {
 				return "still " + phase, nil
 			}
 		}
--- a/cmd/briarspring/dev.go
+++ b/cmd/briarspring/dev.go
@@ -12,16 +12,16 @@
 )
 
 type devCmd struct {
-	Example bool   `help:"Run a firm's workloads for about 20 s, print a summary, and exit."`
-	Firm    string `help:"Whose data centres and workloads to run." enum:"kask,hanbit" default:"kask"`
-	Workers int    `help:"Workers of each data centre." default:"4"`
-	Logs    string `help:"Least level that is logged; off logs nothing." enum:"trace,debug,info,warn,error,off" default:"warn"`
+	Example bool   `help:"Run the organisation's workloads for about 20 s, print a summary, and exit."`
+	Firm    string `help:"Organisation whose data centres and workloads to run." enum:"kask,hanbit" default:"kask"`
+	Workers int    `help:"Number of workers in each data centre." default:"4"`
+	Logs    string `help:"Minimum log level; off disables logging." enum:"trace,debug,info,warn,error,off" default:"warn"`
 }
 
 const devEntryHosts = 2
 
-// Run runs the whole system in this process until it is interrupted, or until
-// the example has ended.
+// Run runs the whole system in this process until it is interrupted or the
+// example ends.
 func (c *devCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/briarspring/docs_test.go
+++ b/cmd/briarspring/docs_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCommandsAreDocumented checks that the operators' pages name every command
-// of ctl and every exit code.
+// TestCommandsAreDocumented checks that docs/commands.md lists every command with
+// its current help text.
 func TestCommandsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/commands.md")
 	require.NoError(t, err)
 	parser, err := kong.New(&cli{}, kong.Name("briarspring"))
 	require.NoError(t, err)
 	assert.Equal(t, commandsPage(parser.Model), string(page),
-		"make it again: go test ./cmd/briarspring -run CommandsAreDocumented -write-commands")
+		"outdated page; write it again: go test ./cmd/briarspring -run CommandsAreDocumented -write-commands")
 }
 
 func TestMain(m *testing.M) {
@@ -33,7 +33,7 @@
 
 // commandsPage returns the reference of all commands in Markdown.
 func commandsPage(model *kong.Application) string {
-	page := "# Commands\n\nKept up to date by a test. `briarspring COMMAND --help` tells the flags.\n\n| command | does |\n| --- | --- |\n"
+	page := "# Commands\n\nKept up to date by a test. `briarspring COMMAND --help` lists the flags.\n\n| command | description |\n| --- | --- |\n"
 	for _, leaf := range model.Leaves(true) {
 		page += "| `" + leaf.FullPath() + "` | " + leaf.Help + " |\n"
 	}
--- a/cmd/briarspring/failure_test.go
+++ b/cmd/briarspring/failure_test.go
@@ -22,18 +22,19 @@
 	"briarspring/scheduler"
 )
 
-// balancer follows the gateways' readiness, as the platform's balancer does.
-type balancer struct {
+// loadBalancer polls the gateways' readiness, as the platform's load balancer
+// does.
+type loadBalancer struct {
 	mu    sync.Mutex
 	ready map[string]bool
 	stop  chan struct{}
 }
 
-const balancerInterval = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
-func newBalancer(s *system, addresses map[string]string) *balancer {
-	b := &balancer{ready: map[string]bool{}, stop: make(chan struct{})}
-	look := func() {
+func newLoadBalancer(s *system, addresses map[string]string) *loadBalancer {
+	b := &loadBalancer{ready: map[string]bool{}, stop: make(chan struct{})}
+	poll := func() {
 		for gateway, admin := range addresses {
 			ready := s.ready(admin)
 			b.mu.Lock()
@@ -41,14 +42,14 @@
 			b.mu.Unlock()
 		}
 	}
-	look()
+	poll()
 	go func() {
 		for {
 			select {
 			case <-b.stop:
 				return
-			case <-time.After(balancerInterval):
-				look()
+			case <-time.After(pollInterval):
+				poll()
 			}
 		}
 	}()
@@ -56,18 +57,18 @@
 	return b
 }
 
-func (b *balancer) healthy(address string) bool {
+func (b *loadBalancer) healthy(address string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.ready[address]
 }
 
-// load runs requests through all gateways while something happens, and returns
-// what callers saw.
-func load(s *system, prefix string, b *balancer, d time.Duration, meanwhile func()) *generator.Result {
+// runLoad sends requests through all gateways for d while it calls meanwhile, and
+// returns the outcomes that callers saw. A nil b sends to unready gateways too.
+func runLoad(s *system, prefix string, b *loadBalancer, d time.Duration, meanwhile func()) *generator.Result {
 	var gateways []string
-	for _, name := range allPlaces {
-		if p := s.places[name]; p != nil {
+	for _, name := range allDataCentres {
+		if p := s.dataCentres[name]; p != nil {
 			gateways = append(gateways, p.gateways...)
 		}
 	}
@@ -86,11 +87,12 @@
 	return <-done
 }
 
-// checkRuns checks the executors' own account against what callers were told.
+// checkRuns compares the executors' run counts with the outcomes that callers
+// saw: a served request ran once, and no request ran twice or though refused.
 func checkRuns(t *testing.T, s *system, r *generator.Result) {
 	t.Helper()
 	runs := map[string]uint32{}
-	for _, p := range s.places {
+	for _, p := range s.dataCentres {
 		var counts []imitator.ExecutorCounts
 		s.get(p.workersAdmin, "/executors?runs", &counts)
 		for _, x := range counts {
@@ -111,7 +113,8 @@
 	}
 }
 
-// checkTasks checks the workers' own account.
+// checkTasks checks in the workers' journals that no task ran on two workers at
+// the same time.
 func checkTasks(t *testing.T, s *system) {
 	t.Helper()
 	running := map[string]journalEntry{}
@@ -143,8 +146,9 @@
 	return vars.Briarspring.Scheduler
 }
 
-// owner returns the index of the entry host whose scheduler owns a data centre.
-func (s *system) owner(p *place) int {
+// ownerIndex returns the index of the entry host whose scheduler owns a data
+// centre, or -1.
+func (s *system) ownerIndex(p *dataCentre) int {
 	for i, admin := range p.schedAdmin {
 		if s.processes[fmt.Sprintf("%s-scheduler%d", p.name, i)] == nil {
 			continue
@@ -168,45 +172,45 @@
 
 func TestProcessesUnderFailure(t *testing.T) {
 	s := startSystem(t, []string{"tartu", "voru"}, 2, 3)
-	fill(t, s)
-	tartu, voru := s.places["tartu"], s.places["voru"]
+	applyObjects(t, s)
+	tartu, voru := s.dataCentres["tartu"], s.dataCentres["voru"]
 	for _, g := range append(append([]string{}, tartu.gateways...), voru.gateways...) {
-		s.within(20*time.Second, "the gateway serves", func() bool {
+		s.waitFor(20*time.Second, "the gateway serves", func() bool {
 			answer, _ := post(t, g, "/ledger/read", "warm-up")
 			return answer.StatusCode == http.StatusOK
 		})
 	}
 	gateways := map[string]string{}
-	for _, p := range s.places {
+	for _, p := range s.dataCentres {
 		for i := range p.gateways {
 			gateways[p.gateways[i]] = p.gatewayAdmin[i]
 		}
 	}
 
-	t.Run("planned stop of a gateway cuts off nothing", func(t *testing.T) {
-		b := newBalancer(s, gateways)
-		r := load(s, "sigterm", b, 3*time.Second, func() {
+	t.Run("planned stop of a gateway cuts off no request", func(t *testing.T) {
+		b := newLoadBalancer(s, gateways)
+		r := runLoad(s, "sigterm", b, 3*time.Second, func() {
 			time.Sleep(time.Second)
 			assert.NoError(t, s.signal("tartu-gateway0", syscall.SIGTERM))
 		})
-		assert.Zero(t, r.Unknown, "cut off")
+		assert.Zero(t, r.Unknown, "requests cut off")
 		checkRuns(t, s, r)
 		s.startGateway(tartu, 0)
-		s.within(10*time.Second, "the gateway is back", func() bool { return s.ready(tartu.gatewayAdmin[0]) })
+		s.waitFor(10*time.Second, "the gateway is back", func() bool { return s.ready(tartu.gatewayAdmin[0]) })
 	})
 
-	t.Run("kill -9 of a gateway runs nothing twice", func(t *testing.T) {
-		r := load(s, "sigkill", nil, 2*time.Second, func() {
+	t.Run("kill -9 of a gateway runs no request twice", func(t *testing.T) {
+		r := runLoad(s, "sigkill", nil, 2*time.Second, func() {
 			time.Sleep(time.Second)
 			assert.Error(t, s.signal("voru-gateway1", syscall.SIGKILL))
 		})
 		checkRuns(t, s, r)
 		s.startGateway(voru, 1)
-		s.within(10*time.Second, "the gateway is back", func() bool { return s.ready(voru.gatewayAdmin[1]) })
+		s.waitFor(10*time.Second, "the gateway is back", func() bool { return s.ready(voru.gatewayAdmin[1]) })
 	})
 
-	t.Run("kill -9 of the owner: another one goes on", func(t *testing.T) {
-		i := s.owner(tartu)
+	t.Run("kill -9 of the owner: another scheduler takes over", func(t *testing.T) {
+		i := s.ownerIndex(tartu)
 		require.GreaterOrEqual(t, i, 0)
 		operators := tartu.operators[1-i]
 		s.addJob(operators, "takeover", 200, "1500ms")
@@ -214,7 +218,7 @@
 		starts := s.schedulerMetrics(tartu.schedAdmin[1-i]).Starts
 		killed := time.Now()
 		assert.Error(t, s.signal(fmt.Sprintf("tartu-scheduler%d", i), syscall.SIGKILL))
-		s.within(30*time.Second, "another owner starts tasks", func() bool {
+		s.waitFor(30*time.Second, "another owner starts tasks", func() bool {
 			m := s.schedulerMetrics(tartu.schedAdmin[1-i])
 			return m.Owner && m.Starts > starts
 		})
@@ -226,9 +230,9 @@
 		checkDoneOnce(t, s, "takeover", 200)
 	})
 
-	t.Run("owner frozen for 10 s beyond its epoch", func(t *testing.T) {
-		s.within(15*time.Second, "tartu has an owner", func() bool { return s.owner(tartu) >= 0 })
-		i := s.owner(tartu)
+	t.Run("owner frozen for 10 s, past its epoch", func(t *testing.T) {
+		s.waitFor(15*time.Second, "tartu has an owner", func() bool { return s.ownerIndex(tartu) >= 0 })
+		i := s.ownerIndex(tartu)
 		s.addJob(voru.operators[0], "frozen", 40, "1500ms")
 		time.Sleep(500 * time.Millisecond)
 		name := fmt.Sprintf("tartu-scheduler%d", i)
@@ -240,7 +244,7 @@
 		checkDoneOnce(t, s, "frozen", 40)
 	})
 
-	t.Run("data centre cut off from the log goes on through a peer", func(t *testing.T) {
+	t.Run("data centre cut off from the log continues through a peer", func(t *testing.T) {
 		s.put(s.logAdmin, "/faults", map[string]any{"cut-callers": []string{"tartu-host0-scheduler", "tartu-host1-scheduler"}})
 		s.addJob(tartu.operators[0], "relayed", 10, "500ms")
 		out, err := s.ctl(tartu.operators[1], "wait", "--limit", "20s", "relayed")
@@ -249,16 +253,16 @@
 		s.put(s.logAdmin, "/faults", map[string]any{})
 	})
 
-	t.Run("log outage: requests and running tasks go on, a late starter serves", func(t *testing.T) {
-		s.within(15*time.Second, "voru has an owner", func() bool { return s.owner(voru) >= 0 })
-		o := s.owner(voru)
+	t.Run("log outage: requests and running tasks continue, processes started meanwhile serve", func(t *testing.T) {
+		s.waitFor(15*time.Second, "voru has an owner", func() bool { return s.ownerIndex(voru) >= 0 })
+		o := s.ownerIndex(voru)
 		follower, owner := fmt.Sprintf("voru-scheduler%d", 1-o), fmt.Sprintf("voru-scheduler%d", o)
 		s.put(s.logAdmin, "/faults", map[string]any{"down": true})
-		// A scheduler that starts now takes its state from the owner, and is then
-		// the only one that the gateway can ask.
+		// A scheduler that starts now gets its state from the owner, and is then
+		// the only one that the gateway can query.
 		assert.Error(t, s.signal(follower, syscall.SIGKILL))
 		s.startScheduler(voru, 1-o)
-		s.within(20*time.Second, "the scheduler has its peer's state", func() bool {
+		s.waitFor(20*time.Second, "the scheduler has its peer's state", func() bool {
 			answer, err := http.Get("http://" + voru.schedAdmin[1-o] + "/healthz")
 			if err != nil {
 				return false
@@ -269,20 +273,20 @@
 		assert.Error(t, s.signal(owner, syscall.SIGKILL))
 		assert.NoError(t, s.signal("voru-gateway0", syscall.SIGTERM))
 		s.startGateway(voru, 0)
-		s.within(10*time.Second, "a gateway that starts in the outage is ready", func() bool { return s.ready(voru.gatewayAdmin[0]) })
-		r := load(s, "outage", nil, 2*time.Second, func() {})
+		s.waitFor(10*time.Second, "a gateway that starts in the outage is ready", func() bool { return s.ready(voru.gatewayAdmin[0]) })
+		r := runLoad(s, "outage", nil, 2*time.Second, func() {})
 		assert.Equal(t, r.Sent, r.Served)
 		s.put(s.logAdmin, "/faults", map[string]any{})
 		s.startScheduler(voru, o)
-		s.within(20*time.Second, "voru has an owner again", func() bool {
-			return s.ready(voru.schedAdmin[0]) && s.ready(voru.schedAdmin[1]) && s.owner(voru) >= 0
+		s.waitFor(20*time.Second, "voru has an owner again", func() bool {
+			return s.ready(voru.schedAdmin[0]) && s.ready(voru.schedAdmin[1]) && s.ownerIndex(voru) >= 0
 		})
 		s.addJob(voru.operators[0], "after-outage", 6, "300ms")
 		out, err := s.ctl(voru.operators[0], "wait", "--limit", "20s", "after-outage")
 		assert.NoError(t, err, out)
 	})
 
-	t.Run("data centre taken out starts nothing and the others do its work", func(t *testing.T) {
+	t.Run("data centre taken out starts nothing and the others run its tasks", func(t *testing.T) {
 		s.addJob(tartu.operators[0], "moved", 60, "1s")
 		time.Sleep(time.Second)
 		out, err := s.ctl(tartu.operators[0], "take-out", "--yes", "voru")
--- a/cmd/briarspring/host.go
+++ b/cmd/briarspring/host.go
@@ -22,19 +22,21 @@
 )
 
 type hostCmd struct {
-	Settings string `arg:"" optional:"" help:"Settings file; the one that the platform names by default."`
-	Metrics  int    `default:"9464" help:"Port of the metrics, at the address of the front; 0 for none."`
-	Level    string `default:"info" enum:"trace,debug,info,warn,error" help:"Least level of log lines."`
+	Settings string `arg:"" optional:"" help:"Settings file; defaults to the one that the platform names."`
+	Metrics  int    `default:"9464" help:"Port of the metrics endpoint, on the IP address that serves callers; 0 disables it."`
+	Level    string `default:"info" enum:"trace,debug,info,warn,error" help:"Minimum log level."`
 }
 
 const (
-	// hostGCPercent of a heap of a few megabytes; memory is scarcer here than
-	// processor time.
+	// hostGCPercent is lower than gcPercent: the heap is a few megabytes, but
+	// memory is scarcer on a host than CPU time.
 	hostGCPercent = 200
-	// memoryShare of the host's limit from which collections become eager.
-	memoryShare = 0.6
-	// exitTime is kept of the grace for ending the process.
-	exitTime = 700 * time.Millisecond
+	// memoryLimitFraction is the fraction of the host's memory limit above which
+	// garbage is collected more often.
+	memoryLimitFraction = 0.6
+	// exitReserve is the part of the stop grace period that is reserved for
+	// exiting the process.
+	exitReserve = 700 * time.Millisecond
 )
 
 // Run runs a host until SIGTERM or SIGINT.
@@ -48,7 +50,7 @@
 		return err
 	}
 	debug.SetGCPercent(hostGCPercent)
-	debug.SetMemoryLimit(int64(float64(settings.MemoryLimit) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(settings.MemoryLimit) * memoryLimitFraction))
 	logs := recorder.New(os.Stdout)
 	logger := hclog.New(&hclog.LoggerOptions{
 		Name: settings.Host, Level: hclog.LevelFromString(c.Level), Output: logs, JSONFormat: true,
@@ -68,7 +70,7 @@
 func (c *hostCmd) hostConfig(s platform.Settings, logger hclog.Logger, logs launcher.Part) assembler.HostConfig {
 	return assembler.HostConfig{
 		Host: s.Host, DataCentre: s.DataCentre, DataCentres: s.DataCentres, MilliCPU: s.MilliCPU,
-		MaxLease: s.MaxLease, StopTime: s.StopGrace - exitTime, KeepFinal: s.KeepFinal, FrontAddr: s.FrontAddr, ReadyAddr: s.ReadyAddr,
+		MaxLease: s.MaxLease, StopTime: s.StopGrace - exitReserve, KeepFinal: s.KeepFinal, FrontAddr: s.FrontAddr, ReadyAddr: s.ReadyAddr,
 		MetricsAddr: c.metricsAddr(s), OperatorsAddr: s.OperatorsAddr,
 		Store:   platform.NewStore(platform.StoreConfig{Address: s.StoreAddr, WriteRate: s.WriteRate, ReadRate: s.ReadRate}),
 		Workers: platform.NewWorkers(),
@@ -81,7 +83,8 @@
 	}
 }
 
-// metricsAddr returns where metrics are served: beside the front.
+// metricsAddr returns the address of the metrics endpoint, which shares its IP
+// address with the callers' endpoint. It is empty if metrics are disabled.
 func (c *hostCmd) metricsAddr(s platform.Settings) string {
 	ip, _, err := net.SplitHostPort(s.FrontAddr)
 	if err != nil || c.Metrics == 0 {
@@ -90,8 +93,8 @@
 	return net.JoinHostPort(ip, strconv.Itoa(c.Metrics))
 }
 
-// watchReload checks the settings file when it has changed. Every setting that
-// a host uses is bound to its life, so changes take effect with the next one.
+// watchReload validates the settings file on SIGHUP and logs the result. All
+// settings are read once at startup, so changes take effect after a restart.
 func watchReload(ctx context.Context, path string, logger hclog.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -103,7 +106,7 @@
 			case <-hup:
 			}
 			if _, err := platform.LoadSettings(path); err != nil {
-				logger.Error("changed settings are not used", "error", err)
+				logger.Error("changed settings file is invalid", "error", err)
 				continue
 			}
 			logger.Info("settings file changed; it takes effect at the next start")
--- a/cmd/briarspring/main.go
+++ b/cmd/briarspring/main.go
@@ -16,20 +16,20 @@
 // Exit codes.
 const (
 	exitFailure  = 1
-	exitUsage    = 2 // Wrong arguments, settings or objects.
-	exitConflict = 3 // The change was based on a version that is not in force.
-	exitUnknown  = 4 // It is not known whether the change came into force.
+	exitUsage    = 2 // Invalid arguments, settings or objects.
+	exitConflict = 3 // The change was based on an outdated version.
+	exitUnknown  = 4 // It is unknown whether the change took effect.
 )
 
 type cli struct {
-	Gateway       gatewayCmd                   `cmd:"" help:"Take callers' requests and route them to executors."`
-	Scheduler     schedulerCmd                 `cmd:"" help:"Follow the log, place tasks and serve the operators' calls."`
-	Host          hostCmd                      `cmd:"" help:"Run workflows on the platform: take jobs, and own workers when that is due."`
-	Trace         traceCmd                     `cmd:"" help:"Print what collected logs say of one request, over all hosts."`
-	Ctl           ctlCmd                       `cmd:"" help:"Operators' commands."`
+	Gateway       gatewayCmd                   `cmd:"" help:"Accept callers' requests and route them to executors."`
+	Scheduler     schedulerCmd                 `cmd:"" help:"Follow the log, place tasks and serve operators' RPCs."`
+	Host          hostCmd                      `cmd:"" help:"Run workflows on the platform: accept jobs, and dispatch tasks to the workers of owned data centres."`
+	Trace         traceCmd                     `cmd:"" help:"Print the collected log lines of one request from all hosts."`
+	Ctl           ctlCmd                       `cmd:"" help:"Commands for operators."`
 	Dev           devCmd                       `cmd:"" help:"Run everything in one process on an embedded platform."`
 	CheckSettings checkCmd                     `cmd:"" help:"Check a settings file and print every fault."`
-	Certificates  certificatesCmd              `cmd:"" help:"Make an authority and certificates for hosts."`
+	Certificates  certificatesCmd              `cmd:"" help:"Create a certificate authority and certificates for hosts."`
 	Version       versionCmd                   `cmd:"" help:"Print the version."`
 	Completion    kongplete.InstallCompletions `cmd:"" name:"install-completions" help:"Print how to install shell completion."`
 }
--- a/cmd/briarspring/path_test.go
+++ b/cmd/briarspring/path_test.go
@@ -39,21 +39,22 @@
 command = index time=500ms
 `
 
-var allPlaces = []string{"tartu", "viljandi", "voru"}
+var allDataCentres = []string{"tartu", "viljandi", "voru"}
 
-// fill waits until the system is up and applies the objects with ctl.
-func fill(t *testing.T, s *system) {
-	for _, p := range s.places {
+// applyObjects waits until all processes are ready and applies objectsFile with
+// ctl.
+func applyObjects(t *testing.T, s *system) {
+	for _, p := range s.dataCentres {
 		for i := range p.peers {
-			s.within(20*time.Second, p.name+" is ready", func() bool {
+			s.waitFor(20*time.Second, p.name+" is ready", func() bool {
 				return s.ready(p.schedAdmin[i]) && s.ready(p.gatewayAdmin[i])
 			})
 		}
 	}
-	s.within(20*time.Second, "all data centres have workers", func() bool {
-		m, err := s.client(s.places["tartu"].operators[0]).ListDataCentres(
+	s.waitFor(20*time.Second, "all data centres have workers", func() bool {
+		m, err := s.client(s.dataCentres["tartu"].operators[0]).ListDataCentres(
 			context.Background(), connect.NewRequest(&pb.ListDataCentresRequest{}))
-		if err != nil || len(m.Msg.GetDataCentres()) != len(s.places) {
+		if err != nil || len(m.Msg.GetDataCentres()) != len(s.dataCentres) {
 			return false
 		}
 		for _, d := range m.Msg.GetDataCentres() {
@@ -65,11 +66,11 @@
 	})
 	file := filepath.Join(s.folder, "objects.ini")
 	require.NoError(t, os.WriteFile(file, []byte(objectsFile), 0o600))
-	out, err := s.ctl(s.places["tartu"].operators[0], "apply", file)
+	out, err := s.ctl(s.dataCentres["tartu"].operators[0], "apply", file)
 	require.NoError(t, err, out)
 }
 
-// post sends a request through a gateway and returns its answer and body.
+// post sends a request through a gateway and returns the response and its body.
 func post(t *testing.T, gateway, path, id string) (*http.Response, string) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+gateway+path, strings.NewReader("receipt "+id))
 	require.NoError(t, err)
@@ -83,11 +84,11 @@
 }
 
 func TestWholePath(t *testing.T) {
-	s := startSystem(t, allPlaces, 2, 3)
-	fill(t, s)
-	for _, p := range s.places {
+	s := startSystem(t, allDataCentres, 2, 3)
+	applyObjects(t, s)
+	for _, p := range s.dataCentres {
 		for i, gateway := range p.gateways {
-			s.within(20*time.Second, "a request is served", func() bool {
+			s.waitFor(20*time.Second, "a request is served", func() bool {
 				answer, _ := post(t, gateway, "/ledger/read", "warm-up")
 				return answer.StatusCode == http.StatusOK
 			})
@@ -99,14 +100,14 @@
 			assert.Contains(t, body, " "+id+" /ledger/read ")
 		}
 	}
-	gateway := s.places["voru"].gateways[1]
+	gateway := s.dataCentres["voru"].gateways[1]
 	answer, _ := post(t, gateway, "/nothing/here", "lost")
 	assert.Equal(t, http.StatusNotFound, answer.StatusCode)
 	assert.Equal(t, string(briarspring.OutcomeNotRun), answer.Header.Get(briarspring.HeaderOutcome))
 
-	out, err := s.ctl(s.places["viljandi"].operators[1], "wait", "--limit", "30s", "archive")
+	out, err := s.ctl(s.dataCentres["viljandi"].operators[1], "wait", "--limit", "30s", "archive")
 	require.NoError(t, err, out)
-	m, err := s.client(s.places["voru"].operators[0]).DescribeJob(context.Background(),
+	m, err := s.client(s.dataCentres["voru"].operators[0]).DescribeJob(context.Background(),
 		connect.NewRequest(&pb.DescribeRequest{Name: "archive"}))
 	require.NoError(t, err)
 	assert.Equal(t, "done", m.Msg.GetState())
@@ -114,7 +115,7 @@
 	checkDoneOnce(t, s, "archive", 12)
 }
 
-// journalEntry is a line of the workers' own account.
+// journalEntry is an entry of a worker's journal.
 type journalEntry struct {
 	Time       time.Time `json:"time"`
 	Worker     string    `json:"worker"`
@@ -126,10 +127,10 @@
 	Saved      uint64    `json:"saved"`
 }
 
-// journal returns the account of all workers.
+// journal returns the journal entries of all workers.
 func journal(s *system) []journalEntry {
 	var all []journalEntry
-	for _, p := range s.places {
+	for _, p := range s.dataCentres {
 		var entries []journalEntry
 		s.get(p.workersAdmin, "/journal", &entries)
 		all = append(all, entries...)
@@ -137,7 +138,7 @@
 	return all
 }
 
-// sortedJournal returns the account of all workers in order of time.
+// sortedJournal returns the journal entries of all workers, sorted by time.
 func sortedJournal(s *system) []journalEntry {
 	all := journal(s)
 	slices.SortStableFunc(all, func(a, b journalEntry) int { return a.Time.Compare(b.Time) })
@@ -153,6 +154,6 @@
 	}
 	assert.Len(t, done, tasks)
 	for index, n := range done {
-		assert.Equal(t, 1, n, "task %d ran to its end %d times", index, n)
+		assert.Equal(t, 1, n, "task %d completed %d times", index, n)
 	}
 }
--- a/cmd/briarspring/process.go
+++ b/cmd/briarspring/process.go
@@ -11,15 +11,15 @@
 	"briarspring/loader"
 )
 
-// settingsArg is the argument of the commands that run a process.
+// settingsArg is the argument of the gateway and scheduler commands.
 type settingsArg struct {
 	Settings string `arg:"" help:"Settings file (INI)." type:"existingfile"`
 }
 
 type gatewayCmd struct{ settingsArg }
 
-// The processes' live heaps are a few megabytes, so collecting them seldom costs
-// little memory and saves processor time.
+// The live heap is a few megabytes, so infrequent garbage collection costs little
+// memory and saves CPU time.
 const (
 	gcPercent   = 400
 	memoryLimit = 100 << 20 // Bytes.
--- a/cmd/briarspring/processes_test.go
+++ b/cmd/briarspring/processes_test.go
@@ -21,20 +21,21 @@
 	"briarspring/gen/briarspring/v1/briarspringv1connect"
 )
 
-// system is a set of real processes on loopback.
+// system is a set of real processes that listen on loopback addresses.
 type system struct {
-	t         *testing.T
-	folder    string
-	log       string
-	logAdmin  string
-	hosts     string
-	hostAdmin string
-	places    map[string]*place
-	processes map[string]*exec.Cmd
-}
-
-// place is a data centre's addresses, by entry host.
-type place struct {
+	t           *testing.T
+	folder      string
+	log         string
+	logAdmin    string
+	hosts       string
+	hostAdmin   string
+	dataCentres map[string]*dataCentre
+	processes   map[string]*exec.Cmd
+}
+
+// dataCentre holds the addresses of a data centre; slices are indexed by entry
+// host.
+type dataCentre struct {
 	name         string
 	workers      string
 	workersAdmin string
@@ -51,11 +52,11 @@
 	return address
 }
 
-// startSystem builds the programs and starts every process of some data
-// centres with a number of entry hosts each.
+// startSystem builds the programs and starts all processes of the given data
+// centres, each with the given number of entry hosts and workers.
 func startSystem(t *testing.T, dataCentres []string, entryHosts, workers int, logArgs ...string) *system {
 	s := &system{
-		t: t, folder: t.TempDir(), places: map[string]*place{}, processes: map[string]*exec.Cmd{},
+		t: t, folder: t.TempDir(), dataCentres: map[string]*dataCentre{}, processes: map[string]*exec.Cmd{},
 		log: freeAddress(t), logAdmin: freeAddress(t), hosts: freeAddress(t), hostAdmin: freeAddress(t),
 	}
 	t.Cleanup(s.stopAll)
@@ -66,12 +67,12 @@
 	s.start("log", "briarstand", append([]string{"log", "--address", s.log, "--admin", s.logAdmin}, logArgs...)...)
 	s.start("hosts", "briarstand", "hosts", "--address", s.hosts, "--admin", s.hostAdmin)
 	for _, name := range dataCentres {
-		s.addPlace(name, entryHosts)
+		s.addDataCentre(name, entryHosts)
 	}
 	authority, err := certifier.NewAuthority()
 	require.NoError(t, err)
 	for _, name := range dataCentres {
-		p := s.places[name]
+		p := s.dataCentres[name]
 		s.start(name+"-workers", "briarstand", "workers", "--address", p.workers, "--admin", p.workersAdmin,
 			"--data-centre", name, "--hosts-admin", s.hostAdmin, "--count", fmt.Sprint(workers))
 		for i := range entryHosts {
@@ -86,8 +87,8 @@
 	return s
 }
 
-func (s *system) addPlace(name string, entryHosts int) {
-	p := &place{name: name, workers: freeAddress(s.t), workersAdmin: freeAddress(s.t)}
+func (s *system) addDataCentre(name string, entryHosts int) {
+	p := &dataCentre{name: name, workers: freeAddress(s.t), workersAdmin: freeAddress(s.t)}
 	for range entryHosts {
 		p.gateways = append(p.gateways, freeAddress(s.t))
 		p.gatewayAdmin = append(p.gatewayAdmin, freeAddress(s.t))
@@ -95,21 +96,21 @@
 		p.schedAdmin = append(p.schedAdmin, freeAddress(s.t))
 		p.peers = append(p.peers, freeAddress(s.t))
 	}
-	s.places[name] = p
+	s.dataCentres[name] = p
 }
 
-func (s *system) path(p *place, i int, name string) string {
+func (s *system) path(p *dataCentre, i int, name string) string {
 	return filepath.Join(s.folder, fmt.Sprintf("%s-%d", p.name, i), name)
 }
 
-func (s *system) writeSettings(p *place, i int) {
+func (s *system) writeSettings(p *dataCentre, i int) {
 	var others, elsewhere, gateways []string
 	for j, peer := range p.peers {
 		if j != i {
 			others = append(others, peer)
 		}
 	}
-	for _, o := range s.places {
+	for _, o := range s.dataCentres {
 		if o != p {
 			elsewhere = append(elsewhere, o.peers...)
 			gateways = append(gateways, o.name+"="+o.gateways[0])
@@ -148,11 +149,11 @@
 	require.NoError(s.t, os.WriteFile(s.path(p, i, "settings.ini"), []byte(text), 0o600))
 }
 
-func (s *system) startScheduler(p *place, i int) {
+func (s *system) startScheduler(p *dataCentre, i int) {
 	s.start(fmt.Sprintf("%s-scheduler%d", p.name, i), "briarspring", "scheduler", s.path(p, i, "settings.ini"))
 }
 
-func (s *system) startGateway(p *place, i int) {
+func (s *system) startGateway(p *dataCentre, i int) {
 	s.start(fmt.Sprintf("%s-gateway%d", p.name, i), "briarspring", "gateway", s.path(p, i, "settings.ini"))
 }
 
@@ -166,8 +167,8 @@
 	s.processes[name] = cmd
 }
 
-// signal sends a signal to a process; after SIGKILL or SIGTERM it waits for
-// the end and returns the exit error.
+// signal sends a signal to a process. After SIGKILL or SIGTERM it waits until the
+// process has exited and returns the exit error.
 func (s *system) signal(name string, sig syscall.Signal) error {
 	cmd := s.processes[name]
 	require.NoError(s.t, cmd.Process.Signal(sig))
@@ -189,13 +190,13 @@
 	}
 }
 
-const logTail = 1500
+const logTailBytes = 1500
 
 func (s *system) printLogs() {
 	files, _ := filepath.Glob(filepath.Join(s.folder, "*.log"))
 	for _, f := range files {
 		data, _ := os.ReadFile(f)
-		s.t.Logf("--- %s\n%s", filepath.Base(f), data[max(0, len(data)-logTail):])
+		s.t.Logf("--- %s\n%s", filepath.Base(f), data[max(0, len(data)-logTailBytes):])
 	}
 }
 
@@ -231,12 +232,12 @@
 	require.NoError(s.t, json.NewDecoder(answer.Body).Decode(v))
 }
 
-// within waits until a condition holds.
-func (s *system) within(limit time.Duration, what string, condition func() bool) {
+// waitFor waits until a condition holds, and fails the test after limit.
+func (s *system) waitFor(limit time.Duration, what string, condition func() bool) {
 	s.t.Helper()
-	begin := time.Now()
+	start := time.Now()
 	for !condition() {
-		require.Less(s.t, time.Since(begin), limit, "did not happen in time: %s", what)
+		require.Less(s.t, time.Since(start), limit, "timed out waiting for: %s", what)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
--- a/cmd/briarspring/trace.go
+++ b/cmd/briarspring/trace.go
@@ -9,10 +9,10 @@
 
 type traceCmd struct {
 	ID    string   `required:"" help:"ID of the request."`
-	Files []string `arg:"" help:"Collected logs." type:"existingfile"`
+	Files []string `arg:"" help:"Collected log files." type:"existingfile"`
 }
 
-// Run prints the lines of one request over all hosts, in order of time.
+// Run prints the log lines of one request from all hosts, sorted by time.
 func (c *traceCmd) Run() error {
 	var lines []explainer.Line
 	for _, name := range c.Files {
@@ -32,7 +32,7 @@
 		fmt.Println(l)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line names %s", c.ID)
+		return fmt.Errorf("no log line mentions request %s", c.ID)
 	}
 	return nil
 }
--- a/cmd/briarspring/version.go
+++ b/cmd/briarspring/version.go
@@ -5,12 +5,12 @@
 	"runtime/debug"
 )
 
-// version is the release that the changelog describes.
+// version is the current release, as in the changelog.
 const version = "0.1.0"
 
 type versionCmd struct{}
 
-// Run prints the version and what it was built from.
+// Run prints the version and the revision it was built from.
 func (versionCmd) Run() error {
 	revision := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
