--- a/cmd/briarload/capacity.go
+++ b/cmd/briarload/capacity.go
@@ -21,13 +21,13 @@
 )
 
 type capacityCmd struct {
-	Starts      time.Duration `help:"Length of the run of starts through a limited log." default:"8s"`
-	DataCentres int           `help:"Data centres of that run." default:"11"`
-	Workers     int           `help:"Workers of each data centre of that run." default:"27"`
-	Profile     bool          `help:"Only run the starts, to be profiled." hidden:""`
+	Starts      time.Duration `help:"Duration of the measurement of task starts through a rate-limited log." default:"8s"`
+	DataCentres int           `help:"Data centres in that measurement." default:"11"`
+	Workers     int           `help:"Workers of each data centre in that measurement." default:"27"`
+	Profile     bool          `help:"Only measure task starts, for profiling." hidden:""`
 }
 
-// Sizes that docs/CAPACITY.md is worked out for.
+// Sizes that docs/CAPACITY.md is calculated for.
 const (
 	sizeWorkers  = 3200
 	sizeTasks    = 80400
@@ -55,40 +55,40 @@
 	return nil
 }
 
-// stream appends batches to a placement state.
-type stream struct {
+// placementStream applies batches to a placement state.
+type placementStream struct {
 	place    *applier.Placement
 	sequence uint64
 	writer   briarspring.Writer
 }
 
-func newStream(workers int) *stream {
-	s := &stream{place: applier.NewPlacement(), writer: briarspring.Writer{Name: "host0", Incarnation: 1}}
+func newStream(workers int) *placementStream {
+	s := &placementStream{place: applier.NewPlacement(), writer: briarspring.Writer{Name: "host0", Incarnation: 1}}
 	s.apply(briarspring.Claim{})
 	for i := range workers {
 		s.apply(briarspring.WorkerJoin{
-			Name: fmt.Sprintf("tartu-w%04d", i), Incarnation: 1, Rack: fmt.Sprintf("r%d", i/8), Capacity: size(64),
+			Name: fmt.Sprintf("tartu-w%04d", i), Incarnation: 1, Rack: fmt.Sprintf("r%d", i/8), Capacity: resourcesForCores(64),
 		})
 	}
 	return s
 }
 
-func size(cores int64) briarspring.Resources {
+func resourcesForCores(cores int64) briarspring.Resources {
 	return briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: cores * 1000, MemoryMiB: cores * 3840})
 }
 
-func (s *stream) record(events ...briarspring.Event) briarspring.Record {
+func (s *placementStream) record(events ...briarspring.Event) briarspring.Record {
 	s.sequence++
 	return briarspring.Record{Writer: s.writer, Sequence: s.sequence, Body: briarspring.Batch{Epoch: 1, Events: events}}
 }
 
-func (s *stream) apply(events ...briarspring.Event) {
+func (s *placementStream) apply(events ...briarspring.Event) {
 	s.place.Apply(s.place.Applied()+1, s.record(events...))
 }
 
-func (s *stream) adopt(workload briarspring.WorkloadID, tasks uint32, cores int64) {
+func (s *placementStream) adopt(workload briarspring.WorkloadID, tasks uint32, cores int64) {
 	s.apply(briarspring.Adopt{
-		Workload: workload, Offset: uint64(workload), Resources: size(cores), MaxTries: 3, End: tasks, Seen: uint64(workload),
+		Workload: workload, Offset: uint64(workload), Resources: resourcesForCores(cores), MaxTries: 3, End: tasks, Seen: uint64(workload),
 	})
 }
 
@@ -96,7 +96,8 @@
 	return briarspring.AttemptID{Task: briarspring.TaskID{Workload: workload, Index: index}, Attempt: n}
 }
 
-// measureApply decodes and applies start and end records on one core.
+// measureApply measures how fast one core decodes and applies start and end
+// records.
 func measureApply(w *tabwriter.Writer) error {
 	s := newStream(300)
 	s.adopt(7, applyRecords*2, 1)
@@ -128,15 +129,15 @@
 	return nil
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// fill places tasks evenly on workers.
-func fill(workers, tasks int) *stream {
+// newLoadedStream returns a stream with tasks spread evenly over the workers.
+func newLoadedStream(workers, tasks int) *placementStream {
 	s := newStream(workers)
 	s.adopt(7, uint32(tasks), 1)
 	for i := 0; i < tasks; i += batchEvents {
@@ -149,14 +150,15 @@
 	return s
 }
 
-// measureState weighs the state at two sizes; the difference gives the slopes.
+// measureState measures the memory of the state at two sizes; the difference
+// gives the cost of each worker and task.
 func measureState(w *tabwriter.Writer) error {
 	for _, n := range []struct{ workers, tasks int }{{300, 7500}, {sizeWorkers, sizeTasks}} {
-		before := heap()
-		idle := fill(n.workers, 0)
-		empty := heap()
-		busy := fill(n.workers, n.tasks)
-		full := heap()
+		before := heapBytes()
+		idle := newLoadedStream(n.workers, 0)
+		empty := heapBytes()
+		busy := newLoadedStream(n.workers, n.tasks)
+		full := heapBytes()
 		runtime.KeepAlive(idle)
 		runtime.KeepAlive(busy)
 		perWorker := (empty - before) / int64(n.workers)
@@ -168,7 +170,7 @@
 }
 
 func measureSnapshot(w *tabwriter.Writer) error {
-	s := fill(sizeWorkers, sizeTasks)
+	s := newLoadedStream(sizeWorkers, sizeTasks)
 	begin := time.Now()
 	data, err := s.place.Snapshot()
 	if err != nil {
@@ -184,7 +186,7 @@
 	return nil
 }
 
-// measureBytes weighs the messages that grow with the fleet.
+// measureBytes measures the size of the messages that grow with the fleet.
 func measureBytes(w *tabwriter.Writer) error {
 	s := newStream(1)
 	events := map[string]func(i uint32) briarspring.Event{
@@ -213,11 +215,11 @@
 		tasks = append(tasks, briarspring.TaskReport{Attempt: a, Phase: briarspring.TaskRunning})
 		usage = append(usage, briarspring.Usage{Attempt: a, Taken: 90 * 24 * time.Hour, MilliCPU: 1500, MemoryMiB: 2000})
 	}
-	whole := briarspring.WorkerReport{
+	full := briarspring.WorkerReport{
 		Clock: 90 * 24 * time.Hour, Incarnation: 1 << 60, Epoch: 99, LeaseUntil: 90 * 24 * time.Hour, Rack: "tartu-r3",
-		Capacity: size(16), Tasks: tasks, Usage: usage, Version: 1 << 20,
+		Capacity: resourcesForCores(16), Tasks: tasks, Usage: usage, Version: 1 << 20,
 	}
-	change := whole
+	change := full
 	change.Tasks = tasks[:1]
 	idle := change
 	idle.Tasks, idle.Usage = nil, nil
@@ -225,22 +227,22 @@
 		Worker: "tartu-w0123", Epoch: 99, LeaseUntil: 90 * 24 * time.Hour, Incarnation: 1 << 60, Wait: time.Second, Seen: 1 << 20,
 	})
 	fmt.Fprintf(w, "bytes of an exchange with a worker of %d tasks\trequest %d, whole report %d, a change %d, no change and no usage %d (without HTTP headers)\n",
-		reportTasks, proto.Size(request), proto.Size(encoder.EncodeWorkerReport(whole)),
+		reportTasks, proto.Size(request), proto.Size(encoder.EncodeWorkerReport(full)),
 		proto.Size(encoder.EncodeWorkerReport(change)), proto.Size(encoder.EncodeWorkerReport(idle)))
 	return nil
 }
 
-// measurePlacer counts decisions on one core.
+// measurePlacer measures placement decisions per second on one core.
 func measurePlacer(w *tabwriter.Writer) error {
 	for _, workers := range []int{300, sizeWorkers} {
 		p := placer.New(placer.Config{Rejected: 3, MaxSlowdown: 0.2})
 		decisions := 0
 		begin := time.Now()
 		for time.Since(begin) < time.Second {
-			round := p.NewRound(view(workers))
+			round := p.NewRound(placerWorkers(workers))
 			for i := range uint32(500) {
 				round.Place(placer.Task{
-					State: briarspring.TaskState{Index: i}, Workload: 9, Name: "index", Class: "index", Resources: size(1), Weight: 5,
+					State: briarspring.TaskState{Index: i}, Workload: 9, Name: "index", Class: "index", Resources: resourcesForCores(1), Weight: 5,
 				})
 			}
 			decisions += 500
@@ -251,22 +253,22 @@
 	return nil
 }
 
-func view(workers int) []*placer.Worker {
+func placerWorkers(workers int) []*placer.Worker {
 	list := make([]*placer.Worker, 0, workers)
 	for i := range workers {
 		v := &placer.Worker{
 			Number: uint32(i + 1), Name: fmt.Sprintf("w%d", i), Rack: fmt.Sprintf("r%d", i/8),
-			Free: size(int64(4 + i%5)), Soon: size(8), Size: size(16), Usable: true,
+			Free: resourcesForCores(int64(4 + i%5)), Soon: resourcesForCores(8), Size: resourcesForCores(16), Usable: true,
 		}
 		for k := range uint32(2) {
-			v.Running = append(v.Running, placer.Running{Attempt: attempt(3, uint32(i)*2+k, 1), Service: "ledger", Resources: size(2)})
+			v.Running = append(v.Running, placer.Running{Attempt: attempt(3, uint32(i)*2+k, 1), Service: "ledger", Resources: resourcesForCores(2)})
 		}
 		list = append(list, v)
 	}
 	return list
 }
 
-// measureRouter counts decisions on one core.
+// measureRouter measures routing decisions per second on one core.
 func measureRouter(w *tabwriter.Writer) error {
 	r := router.New(router.Config{Seats: 3, QueueLength: 100})
 	for i := range 65 {
@@ -289,8 +291,9 @@
 	return nil
 }
 
-// measureStarts runs schedulers of all data centres against one log that takes
-// 300 appends a second with 5 ms latency, and short tasks.
+// measureStarts measures task starts per second. The schedulers of all data
+// centres run short tasks through one log that accepts 300 appends/s with a
+// latency of 5 ms.
 func (c *capacityCmd) measureStarts(w *tabwriter.Writer) error {
 	log := imitator.NewLog(imitator.LogConfig{AppendsPerSecond: 300})
 	log.SetFaults(imitator.LogFaults{Latency: 5 * time.Millisecond})
@@ -304,7 +307,7 @@
 		fleet := imitator.NewFleet(1)
 		for i := range c.Workers {
 			worker := fmt.Sprintf("%s-w%02d", name, i)
-			fleet.Put(imitator.NewWorker(imitator.WorkerConfig{Name: worker, Incarnation: 1, Capacity: size(16), Journal: journal}))
+			fleet.Put(imitator.NewWorker(imitator.WorkerConfig{Name: worker, Incarnation: 1, Capacity: resourcesForCores(16), Journal: journal}))
 			hosts.Put(briarspring.Host{Name: worker, DataCentre: name, Address: worker})
 		}
 		s := scheduler.New(scheduler.Config{
@@ -319,10 +322,10 @@
 			<-s.Done()
 		}
 	}()
-	if err := c.feed(ctx, schedulers); err != nil {
+	if err := c.submitShortJobs(ctx, schedulers); err != nil {
 		return err
 	}
-	time.Sleep(2 * time.Second) // Until the flow is steady.
+	time.Sleep(2 * time.Second) // Wait for a steady state.
 	var before runtime.MemStats
 	runtime.ReadMemStats(&before)
 	begin, appends, cpu := time.Now(), log.Appends(), processorTime()
@@ -330,7 +333,7 @@
 	confBytes, placeBytes := log.Bytes(briarspring.ConfigStream), log.Bytes(first)
 	time.Sleep(c.Starts)
 	took := time.Since(begin)
-	starts, waits := c.count(journal, begin)
+	starts, waits := c.countStarts(journal, begin)
 	fmt.Fprintf(w, "starts through a log of 300 appends/s, 5 ms, %d data centres, %d workers\t%.0f/s with %.0f appends/s, %.2f cores\n",
 		c.DataCentres, c.DataCentres*c.Workers, float64(starts)/took.Seconds(), float64(log.Appends()-appends)/took.Seconds(),
 		(processorTime()-cpu).Seconds()/took.Seconds())
@@ -344,22 +347,23 @@
 	return nil
 }
 
-const feedTasks = 40000
+const shortJobTasks = 40000
 
-// feed creates jobs of short tasks once every data centre has its workers.
-func (c *capacityCmd) feed(ctx context.Context, schedulers []*scheduler.Scheduler) error {
+// submitShortJobs creates jobs of short tasks once every data centre has all its
+// workers.
+func (c *capacityCmd) submitShortJobs(ctx context.Context, schedulers []*scheduler.Scheduler) error {
 	s := schedulers[0]
-	for up := false; !up; time.Sleep(100 * time.Millisecond) {
+	for ready := false; !ready; time.Sleep(100 * time.Millisecond) {
 		s.View(func(conf *applier.Config, _ *applier.Placement) {
-			up = len(conf.DataCentres()) == c.DataCentres
+			ready = len(conf.DataCentres()) == c.DataCentres
 			for _, d := range conf.DataCentres() {
-				up = up && int(d.Summary().Workers) == c.Workers
+				ready = ready && int(d.Summary().Workers) == c.Workers
 			}
 		})
 	}
 	for i := range 2 {
 		j, err := briarspring.NewJob(briarspring.JobConfig{
-			Name: fmt.Sprintf("short-%d", i), Team: "load", Class: "short", Tasks: feedTasks, Resources: size(2), Weight: 1,
+			Name: fmt.Sprintf("short-%d", i), Team: "load", Class: "short", Tasks: shortJobTasks, Resources: resourcesForCores(2), Weight: 1,
 			RunTime: time.Second, Command: "time=900ms", MaxTries: 3,
 		})
 		if err != nil {
@@ -376,8 +380,9 @@
 	return nil
 }
 
-// count returns the starts since a time, and how long freed slots stood empty.
-func (c *capacityCmd) count(j *imitator.Journal, since time.Time) (starts int, waits []time.Duration) {
+// countStarts returns the number of starts since a time, and how long each freed
+// slot stayed empty until its next start.
+func (c *capacityCmd) countStarts(j *imitator.Journal, since time.Time) (starts int, waits []time.Duration) {
 	free := map[string][]time.Time{}
 	for _, e := range j.Entries() {
 		switch e.Kind {
--- a/cmd/briarload/main.go
+++ b/cmd/briarload/main.go
@@ -1,4 +1,4 @@
-// Command briarload makes load and measures what callers see.
+// Command briarload generates load and measures the results that callers see.
 package main
 
 import (
@@ -17,12 +17,12 @@
 )
 
 type cli struct {
-	Run      runCmd      `cmd:"" help:"Make open-loop load and print what callers saw."`
-	Record   recordCmd   `cmd:"" help:"Record what operators do on a running system as a trace."`
-	Replay   replayCmd   `cmd:"" help:"Replay traces in real time against the outcomes that they state."`
-	Route    routeCmd    `cmd:"" help:"Measure the routing rules against each other and write a table and a plot."`
-	Report   reportCmd   `cmd:"" help:"Replay traces under every rule of placement and write a table and plots."`
-	Capacity capacityCmd `cmd:"" help:"Measure the slopes that docs/CAPACITY.md is worked out from."`
+	Run      runCmd      `cmd:"" help:"Generate open-loop load and print the results that callers saw."`
+	Record   recordCmd   `cmd:"" help:"Record operators' changes on a running system as a trace."`
+	Replay   replayCmd   `cmd:"" help:"Replay traces in real time and compare the results with the outcomes that the traces state."`
+	Route    routeCmd    `cmd:"" help:"Compare the routing rules and write a table and a plot."`
+	Report   reportCmd   `cmd:"" help:"Replay traces under every placement rule and write a table and plots."`
+	Capacity capacityCmd `cmd:"" help:"Measure the inputs of docs/CAPACITY.md."`
 }
 
 func main() {
@@ -35,18 +35,18 @@
 
 type runCmd struct {
 	Gateways   []string      `help:"Addresses of gateways." required:""`
-	Direct     []string      `help:"Addresses of executors, called without a gateway in the same run."`
-	Workers    []string      `help:"Admin addresses of the workers' stand-ins, to check that nothing was run twice."`
-	Rate       float64       `help:"Requests a second of each arm." default:"1000"`
+	Direct     []string      `help:"Addresses of executors to call directly in the same run, for comparison."`
+	Workers    []string      `help:"Admin addresses of simulated workers, to check that no request ran twice."`
+	Rate       float64       `help:"Requests per second of each arm." default:"1000"`
 	Duration   time.Duration `help:"Length of the run." default:"10s"`
 	Path       string        `help:"Path of the requests." default:"/ledger/read"`
 	Timeout    time.Duration `help:"Timeout of a request." default:"2s"`
 	Idempotent bool          `help:"Mark the requests as idempotent."`
-	Seed       uint64        `help:"Of the arrivals." default:"1"`
+	Seed       uint64        `help:"Seed of the arrival times." default:"1"`
 }
 
-// Run makes the load and prints a table; it fails when an answer was wrong or
-// a request was run twice.
+// Run generates the load and prints a table. It fails if an answer was wrong, or
+// if a request ran twice or though refused.
 func (c *runCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -68,9 +68,9 @@
 		return err
 	}
 	doubled := generator.Doubled(results, runs, c.Idempotent)
-	fmt.Printf("wrong answers %d, run twice or though refused %d\n", wrong, len(doubled))
+	fmt.Printf("wrong answers %d, requests run twice or though refused %d\n", wrong, len(doubled))
 	if wrong > 0 || len(doubled) > 0 {
-		return fmt.Errorf("the run broke a promise")
+		return fmt.Errorf("wrong answers, or requests run twice or though refused")
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// runs returns how often executors ran each request, by their own account.
+// runs returns how often each request ran, as counted by the executors.
 func (c *runCmd) runs() (map[string]uint32, error) {
 	runs := map[string]uint32{}
 	for _, address := range c.Workers {
--- a/cmd/briarload/processor_time.go
+++ b/cmd/briarload/processor_time.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// processorTime returns what this process has used so far.
+// processorTime returns the CPU time that this process has used so far.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/cmd/briarload/record.go
+++ b/cmd/briarload/record.go
@@ -19,16 +19,15 @@
 
 type recordCmd struct {
 	LogAddress string        `help:"Address of the platform's log." required:""`
-	File       string        `arg:"" help:"Trace to write."`
+	File       string        `arg:"" help:"Trace file to write."`
 	Length     time.Duration `help:"Length of the recording." default:"2m"`
 	Name       string        `help:"Name of the trace." default:"recorded"`
 }
 
 const recordReportLag = time.Second
 
-// Run follows the configuration stream and writes what operators do, and the
-// data centres that they do it on, as a trace. Its outcomes are for the one who
-// records it to state.
+// Run follows the configuration stream and writes the operators' changes and the
+// data centres as a trace. The trace states no outcomes; they are added by hand.
 func (c *recordCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -40,7 +39,7 @@
 	})
 	go f.Run(ctx)
 	r := &recorder{
-		begin: time.Now(), places: map[string]int{},
+		begin: time.Now(), dataCentreIndex: map[string]int{},
 		trace: replayer.Trace{
 			Name: c.Name, About: "Recorded from a running system.", Seed: 1,
 			Length: replayer.Duration(c.Length), MeasureTo: replayer.Duration(c.Length),
@@ -50,7 +49,7 @@
 	for ctx.Err() == nil {
 		select {
 		case item := <-f.Items():
-			r.take(item.Record)
+			r.handleRecord(item.Record)
 		case <-ctx.Done():
 		}
 	}
@@ -58,40 +57,40 @@
 	return r.write(c.File)
 }
 
-// recorder turns records into a trace.
+// recorder converts log records to a trace.
 type recorder struct {
-	trace  replayer.Trace
-	begin  time.Time
-	places map[string]int // Index in the trace's data centres.
+	trace           replayer.Trace
+	begin           time.Time
+	dataCentreIndex map[string]int // Index in the trace's data centres.
 }
 
-func (r *recorder) take(record briarspring.Record) {
+func (r *recorder) handleRecord(record briarspring.Record) {
 	switch b := record.Body.(type) {
 	case briarspring.Summary:
-		r.takeSummary(b)
+		r.handleSummary(b)
 	case briarspring.Command:
-		if e, ok := event(b.Change); ok {
+		if e, ok := traceEvent(b.Change); ok {
 			e.At = replayer.Duration(time.Since(r.begin))
 			r.trace.Events = append(r.trace.Events, e)
 		}
 	}
 }
 
-const recordPerRack = 8
+const recordWorkersPerRack = 8
 
-func (r *recorder) takeSummary(s briarspring.Summary) {
-	i, known := r.places[s.DataCentre]
+func (r *recorder) handleSummary(s briarspring.Summary) {
+	i, known := r.dataCentreIndex[s.DataCentre]
 	if !known {
 		i = len(r.trace.DataCentres)
-		r.places[s.DataCentre] = i
-		r.trace.DataCentres = append(r.trace.DataCentres, replayer.DataCentre{Name: s.DataCentre, PerRack: recordPerRack})
+		r.dataCentreIndex[s.DataCentre] = i
+		r.trace.DataCentres = append(r.trace.DataCentres, replayer.DataCentre{Name: s.DataCentre, PerRack: recordWorkersPerRack})
 	}
 	d := &r.trace.DataCentres[i]
 	d.Workers = max(d.Workers, int(s.Workers))
 }
 
-// event maps an operator's change to an event of a trace.
-func event(change briarspring.Change) (replayer.Event, bool) {
+// traceEvent maps an operator's change to an event of a trace.
+func traceEvent(change briarspring.Change) (replayer.Event, bool) {
 	switch ch := change.(type) {
 	case briarspring.PutService:
 		return replayer.Event{Kind: replayer.KindObjects, Text: declarer.Format(declarer.Object{Service: &ch.Service})}, true
--- a/cmd/briarload/replay.go
+++ b/cmd/briarload/replay.go
@@ -22,12 +22,12 @@
 
 type replayCmd struct {
 	Files []string `arg:"" help:"Traces." type:"existingfile"`
-	Rule  string   `help:"Rule of placement." enum:"interference,first-fit,static-split" default:"interference"`
+	Rule  string   `help:"Placement rule." enum:"interference,first-fit,static-split" default:"interference"`
 	Logs  bool     `help:"Log the schedulers' decisions."`
 }
 
-// Run replays traces in real time, all at once, and fails when an outcome that
-// a trace states was missed.
+// Run replays all traces concurrently in real time, and fails if a trace missed
+// an outcome that it states.
 func (c *replayCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -60,13 +60,13 @@
 	return hclog.Default()
 }
 
-// comparison is a trace with what each rule made of it.
+// comparison holds a trace and its measures under each rule.
 type comparison struct {
 	trace    replayer.Trace
 	measures []replayer.Measures
 }
 
-// replayAll replays every trace under every rule in one run, at the same time.
+// replayAll replays every trace under every rule, all concurrently.
 func replayAll(ctx context.Context, files []string, rules []placer.Rule, logger hclog.Logger) ([]comparison, error) {
 	out := make([]comparison, len(files))
 	failures := make(chan error, len(files)*len(rules))
@@ -97,7 +97,8 @@
 	Folder string   `help:"Folder for the table and the plots." default:"docs/measurements"`
 }
 
-// Run replays traces under every rule in one run and writes a table and plots.
+// Run replays the traces under every rule concurrently and writes a table and
+// plots.
 func (c *reportCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -113,7 +114,7 @@
 		return err
 	}
 	for _, measure := range []string{"urgent-p99-ratio", "batch-share"} {
-		if err := draw(filepath.Join(c.Folder, measure+".svg"), measure, runs, rules); err != nil {
+		if err := drawMeasure(filepath.Join(c.Folder, measure+".svg"), measure, runs, rules); err != nil {
 			return err
 		}
 	}
@@ -143,8 +144,8 @@
 	barWidth   = 9
 )
 
-// draw draws one measure as bars, a group for each trace.
-func draw(path, measure string, runs []comparison, rules []placer.Rule) error {
+// drawMeasure draws a bar chart of one measure with a group for each trace.
+func drawMeasure(path, measure string, runs []comparison, rules []placer.Rule) error {
 	var labels, series []string
 	for _, r := range runs {
 		labels = append(labels, r.trace.Name)
@@ -161,7 +162,7 @@
 	return drawBars(path, measure, labels, series, values)
 }
 
-// drawBars draws a group of bars for each label, one bar for each series.
+// drawBars draws a bar chart: a group for each label, a bar for each series.
 func drawBars(path, title string, labels, series []string, values []plotter.Values) error {
 	p := plot.New()
 	p.Title.Text = title
--- a/cmd/briarload/route.go
+++ b/cmd/briarload/route.go
@@ -26,11 +26,11 @@
 const (
 	routeExecutors = 10
 	routeSlots     = 8
-	routeWork      = 100 * time.Millisecond
+	routeWorkTime  = 100 * time.Millisecond
 	routeCommand   = "time=100ms vary=0.5"
 	routeTimeout   = 5 * time.Second
 	routeSlowdown  = 5
-	routeHang      = 1500 * time.Millisecond
+	routeHangTime  = 1500 * time.Millisecond
 	routeHangShare = 0.01
 )
 
@@ -39,13 +39,13 @@
 // routeCase is one condition under which the rules are compared.
 type routeCase struct {
 	name   string
-	load   float64 // Share of the slots' capacity.
+	load   float64 // Fraction of the slots' capacity.
 	slow   bool    // One of ten executors works five times slower.
 	faults imitator.ExecutorFaults
 }
 
-// Run measures every rule in every case. The rules run at the same time, each in
-// a gateway with a third of the slots of the same executors.
+// Run measures every rule in every case. The rules run concurrently, each in its
+// own gateway with a third of the slots of the same executors.
 func (c *routeCmd) Run() error {
 	rig, err := newRouteRig()
 	if err != nil {
@@ -55,7 +55,7 @@
 	cases := []routeCase{
 		{name: "30 percent", load: 0.3}, {name: "60 percent", load: 0.6}, {name: "85 percent", load: 0.85},
 		{name: "60 percent, one slow", load: 0.6, slow: true},
-		{name: "60 percent, 1 in 100 hangs", load: 0.6, faults: imitator.ExecutorFaults{Hang: routeHang, HangShare: routeHangShare}},
+		{name: "60 percent, 1 in 100 hangs", load: 0.6, faults: imitator.ExecutorFaults{Hang: routeHangTime, HangShare: routeHangShare}},
 		{name: "capacity", load: 1}, {name: "twice capacity", load: 2},
 	}
 	var b strings.Builder
@@ -88,7 +88,7 @@
 
 func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// routeRig is the gateways and executors of the comparison.
+// routeRig holds the gateways and executors of the comparison.
 type routeRig struct {
 	worker    *imitator.Worker
 	executors []string
@@ -97,15 +97,15 @@
 
 func newRouteRig() (*routeRig, error) {
 	rig := &routeRig{worker: imitator.NewWorker(imitator.WorkerConfig{
-		Name: "w0", Incarnation: 1, Capacity: size(64), Serve: true, Address: "127.0.0.1",
+		Name: "w0", Incarnation: 1, Capacity: resourcesForCores(64), Serve: true, Address: "127.0.0.1",
 	})}
 	update, err := rig.startExecutors()
 	if err != nil {
 		return nil, err
 	}
-	for seat, rule := range routeRules {
+	for index, rule := range routeRules {
 		f := forwarder.New(forwarder.Config{
-			Router:         router.Config{Rule: rule, Seat: seat, Seats: len(routeRules), QueueLength: 256, Seed: 1},
+			Router:         router.Config{Rule: rule, Seat: index, Seats: len(routeRules), QueueLength: 256, Seed: 1},
 			DefaultTimeout: routeTimeout, MaxTimeout: routeTimeout, MaxBody: 1 << 20, MaxBuffered: 64 << 20, RetryShare: 0.1,
 		})
 		f.Apply(update)
@@ -114,13 +114,14 @@
 	return rig, nil
 }
 
-// startExecutors starts the executors and returns what gateways are told.
+// startExecutors starts the executors and returns the update that announces them
+// to the gateways.
 func (r *routeRig) startExecutors() (forwarder.Update, error) {
 	const lease = time.Hour
 	e := briarspring.Exchange{Worker: "w0", Epoch: 1, Incarnation: 1, LeaseUntil: lease}
 	for i := range uint32(routeExecutors) {
 		e.Starts = append(e.Starts, briarspring.StartTask{
-			Attempt: attempt(1, i, 1), NotAfter: lease, Name: "ledger", Command: routeCommand, Resources: size(1),
+			Attempt: attempt(1, i, 1), NotAfter: lease, Name: "ledger", Command: routeCommand, Resources: resourcesForCores(1),
 			Service: true, Slots: routeSlots, Connections: 64,
 		})
 	}
@@ -156,7 +157,7 @@
 	for i, rule := range routeRules {
 		arms = append(arms, generator.Arm{Name: string(rule), Addresses: []string{strings.TrimPrefix(r.gateways[i].URL, "http://")}})
 	}
-	capacity := float64(routeExecutors*routeSlots) / routeWork.Seconds()
+	capacity := float64(routeExecutors*routeSlots) / routeWorkTime.Seconds()
 	return generator.Run(context.Background(), generator.Config{
 		Arms: arms, Rate: k.load * capacity / float64(len(arms)), Duration: d, Path: "/ledger/read",
 		Timeout: routeTimeout, Body: "x", Prefix: fmt.Sprintf("case-%d", seed), Seed: uint64(seed),
--- a/cmd/briarstand/main.go
+++ b/cmd/briarstand/main.go
@@ -1,5 +1,5 @@
-// Command briarstand runs small stand-ins for the platform, for tests: the log,
-// the list of hosts, and workers. Each has an admin port for its failures.
+// Command briarstand runs simulated parts of the platform for tests: the log, the
+// host list and workers. Each has an admin port for control and fault injection.
 package main
 
 import (
@@ -21,9 +21,9 @@
 )
 
 type cli struct {
-	Log     logCmd     `cmd:"" help:"Run the log."`
-	Hosts   hostsCmd   `cmd:"" help:"Run the list of hosts."`
-	Workers workersCmd `cmd:"" help:"Run a group of workers."`
+	Log     logCmd     `cmd:"" help:"Run a simulated log."`
+	Hosts   hostsCmd   `cmd:"" help:"Run a simulated host list."`
+	Workers workersCmd `cmd:"" help:"Run simulated workers of one data centre."`
 }
 
 type addresses struct {
@@ -33,40 +33,40 @@
 
 type logCmd struct {
 	addresses
-	AppendsPerSecond float64       `help:"Bound on appends; zero for none." default:"300"`
-	KeepRecords      int           `help:"Records kept in a stream; zero keeps all."`
-	KeepFor          time.Duration `help:"Age of the oldest record kept; zero keeps all."`
-	Latency          time.Duration `help:"Added to each call." default:"0s"`
+	AppendsPerSecond float64       `help:"Maximum appends per second; zero for no limit." default:"300"`
+	KeepRecords      int           `help:"Maximum number of records kept per stream; zero keeps all."`
+	KeepFor          time.Duration `help:"Maximum age of kept records; zero keeps all."`
+	Latency          time.Duration `help:"Latency added to each call." default:"0s"`
 }
 
 type hostsCmd struct {
 	addresses
-	Lag time.Duration `help:"Until a change shows." default:"500ms"`
+	Lag time.Duration `help:"Delay until a change is visible." default:"500ms"`
 }
 
 type workersCmd struct {
 	addresses
 	DataCentre     string        `help:"Data centre of the workers." required:""`
-	HostsAdmin     string        `help:"Admin address of the list of hosts, to be listed there." required:""`
+	HostsAdmin     string        `help:"Admin address of the host list, to register the workers there." required:""`
 	Count          int           `help:"Number of workers." default:"4"`
-	CPU            int64         `help:"Cores of a worker." default:"16"`
-	Memory         int64         `help:"Mebibytes of a worker." default:"61440"`
-	Accelerators   int64         `help:"Accelerators of a worker." default:"0"`
-	PerRack        int           `help:"Workers of a rack." default:"8"`
-	ReportInterval time.Duration `help:"Between measurements." default:"1s"`
-	ReportLag      time.Duration `help:"Until a measurement is reported." default:"1s"`
-	CheckpointTime time.Duration `help:"That stopping a task takes." default:"50ms"`
+	CPU            int64         `help:"CPU cores per worker." default:"16"`
+	Memory         int64         `help:"Memory per worker in MiB." default:"61440"`
+	Accelerators   int64         `help:"Accelerators per worker." default:"0"`
+	PerRack        int           `help:"Workers per rack." default:"8"`
+	ReportInterval time.Duration `help:"Interval between measurements." default:"1s"`
+	ReportLag      time.Duration `help:"Delay until a measurement is reported." default:"1s"`
+	CheckpointTime time.Duration `help:"Time that stopping a task takes." default:"50ms"`
 }
 
 func main() {
-	ctx := kong.Parse(&cli{}, kong.Name("briarstand"), kong.Description("Stand-ins for the platform, for tests."))
+	ctx := kong.Parse(&cli{}, kong.Name("briarstand"), kong.Description("Simulated parts of the platform, for tests."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// serve serves the protocol and the admin port until SIGTERM or SIGINT.
+// serve serves the platform's protocol and the admin port until SIGTERM or SIGINT.
 func (a addresses) serve(path string, h, admin http.Handler) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -93,7 +93,7 @@
 	}
 }
 
-// Run serves a log.
+// Run serves a simulated log.
 func (c *logCmd) Run() error {
 	l := imitator.NewLog(imitator.LogConfig{
 		KeepRecords: c.KeepRecords, KeepFor: c.KeepFor, AppendsPerSecond: c.AppendsPerSecond,
@@ -103,14 +103,14 @@
 	return c.serve(path, h, imitator.LogAdmin(l))
 }
 
-// Run serves a list of hosts.
+// Run serves a simulated host list.
 func (c *hostsCmd) Run() error {
 	hosts := imitator.NewHosts(c.Lag)
 	path, h := imitator.HostsHandler(hosts)
 	return c.serve(path, h, imitator.HostsAdmin(hosts))
 }
 
-// Run serves a group of workers.
+// Run registers and serves simulated workers.
 func (c *workersCmd) Run() error {
 	fleet := imitator.NewFleet(1)
 	journal := &imitator.Journal{}
@@ -138,11 +138,11 @@
 }
 
 const (
-	registerTries = 50
-	registerPause = 100 * time.Millisecond
+	registerAttempts   = 50
+	registerRetryDelay = 100 * time.Millisecond
 )
 
-// register puts a worker on the list of hosts, waiting until the list is up.
+// register adds a worker to the host list, retrying until the list is up.
 func (c *workersCmd) register(name, rack string) error {
 	body, err := json.Marshal(map[string]string{
 		"name": name, "data-centre": c.DataCentre, "rack": rack, "address": c.Address,
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	for range registerTries {
+	for range registerAttempts {
 		request, err := http.NewRequest(http.MethodPut, "http://"+c.HostsAdmin+"/hosts/"+name, bytes.NewReader(body))
 		if err != nil {
 			return err
@@ -162,7 +162,7 @@
 				return nil
 			}
 		}
-		time.Sleep(registerPause)
+		time.Sleep(registerRetryDelay)
 	}
-	return fmt.Errorf("list of hosts at %s does not answer", c.HostsAdmin)
+	return fmt.Errorf("registration with the host list at %s failed", c.HostsAdmin)
 }
