--- a/operator/operator.go
+++ b/operator/operator.go
@@ -26,7 +26,8 @@
 	Name() string
 }
 
-// Server implements the RPCs on services, jobs, quotas, workers and data centres.
+// Server implements the RPCs on services, jobs, tasks, quotas, workers and data
+// centres.
 type Server struct {
 	scheduler Scheduler
 }
