--- a/demonstrator/example_workflows.go
+++ b/demonstrator/example_workflows.go
@@ -251,7 +251,7 @@
 		len(r.submitted), len(r.completed), late, len(r.urgent), r.system.pool.Starts(), len(broken))
 	account := r.system.pool.Account()
 	fmt.Fprintf(out, "lasting tasks\tat work %d of %d\ttails over target %d of %d\tchanges of pace %d\n",
-		r.atWork(), lastingTasks, account.Over, account.Readings, account.Paces)
+		r.atWork(), lastingTasks, account.TailsOverTarget, account.TailReports, account.Paces)
 	problems := append(broken, r.failures...)
 	if r.atWork() != lastingTasks {
 		problems = append(problems, fmt.Sprintf("%d of %d lasting tasks are at work", r.atWork(), lastingTasks))
--- a/demonstrator/workflows.go
+++ b/demonstrator/workflows.go
@@ -44,7 +44,7 @@
 		store:  imitator.NewKeyedStore(1),
 		logger: hclog.New(&hclog.LoggerOptions{Name: "workflows", Level: hclog.LevelFromString(c.LogLevel), Output: c.Logs}),
 	}
-	s.pool = imitator.NewPool(imitator.PoolConfig{Seed: 1, Latency: orderLatency, Plan: s.plan, Spec: s.spec, Press: s.press})
+	s.pool = imitator.NewPool(imitator.PoolConfig{Seed: 1, Latency: orderLatency, Plan: s.plan, Spec: s.spec, Interference: s.press})
 	s.store.SetFaults(imitator.KeyedFaults{Latency: storeLatency})
 	s.listing = imitator.NewListing(imitator.ListingConfig{Pool: s.pool, Store: s.store, Logger: s.logger})
 	directory, err := imitator.DirectoryRecord(briarspring.Directory{Version: 1, Queues: c.Firm.queues()})
--- a/imitator/admin.go
+++ b/imitator/admin.go
@@ -73,7 +73,8 @@
 	Memory     int64     `json:"capacity-memory-mib"`
 }
 
-// decode reads a JSON body, refusing unknown fields.
+// decode reads a JSON body. It answers 400 and returns false when the body is
+// malformed or has unknown fields.
 func decode(rw http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
@@ -84,12 +85,12 @@
 	return true
 }
 
-func reply(rw http.ResponseWriter, v any) {
+func writeJSON(rw http.ResponseWriter, v any) {
 	rw.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(rw).Encode(v) //nolint:errcheck // The reader went away.
+	json.NewEncoder(rw).Encode(v) //nolint:errcheck // The client disconnected.
 }
 
-// LogAdmin returns the admin handler of a log: PUT /faults.
+// LogAdmin returns the admin handler of a log: PUT /faults and GET /streams.
 func LogAdmin(l *Log) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(rw http.ResponseWriter, r *http.Request) {
@@ -103,13 +104,13 @@
 		})
 	})
 	mux.HandleFunc("GET /streams", func(rw http.ResponseWriter, _ *http.Request) {
-		rw.Write([]byte(l.String())) //nolint:errcheck // The reader went away.
+		rw.Write([]byte(l.String())) //nolint:errcheck // The client disconnected.
 	})
 	return mux
 }
 
 // HostsAdmin returns the admin handler of a list of hosts: PUT and DELETE
-// /hosts/NAME, PUT /down and /up.
+// /hosts/NAME, PUT /hosts/NAME/leaving, /down and /up.
 func HostsAdmin(h *Hosts) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /hosts/{name}", func(rw http.ResponseWriter, r *http.Request) {
@@ -152,7 +153,7 @@
 		for _, e := range j.Entries() {
 			out = append(out, encodeJournal(e))
 		}
-		reply(rw, out)
+		writeJSON(rw, out)
 	})
 	mux.HandleFunc("PUT /workers/{name}/failing", func(rw http.ResponseWriter, r *http.Request) {
 		w := f.Worker(r.PathValue("name"))
@@ -173,7 +174,7 @@
 		f.Remove(w.Name())
 	})
 	mux.HandleFunc("GET /executors", func(rw http.ResponseWriter, r *http.Request) {
-		reply(rw, Executors(r.URL.Query().Has("runs")))
+		writeJSON(rw, Executors(r.URL.Query().Has("runs")))
 	})
 	mux.HandleFunc("PUT /executors/faults", func(rw http.ResponseWriter, r *http.Request) {
 		var m executorFaultsJSON
@@ -197,8 +198,8 @@
 	}
 }
 
-// Executors returns the counts of all executors of this process, those that
-// have ended included.
+// Executors returns the counts of all executors of this process, including
+// those that have ended.
 func Executors(withRuns bool) []ExecutorCounts {
 	out := []ExecutorCounts{}
 	executors.Range(func(_, v any) bool {
@@ -208,8 +209,8 @@
 	return out
 }
 
-// SetExecutorFaults switches the failures of the executor at an address, or of
-// all executors of this process when it is empty.
+// SetExecutorFaults sets the faults of the executor at an address, or of all
+// executors of this process when the address is empty.
 func SetExecutorFaults(address string, f ExecutorFaults) {
 	executors.Range(func(key, v any) bool {
 		if address == "" || key == address {
--- a/imitator/check.go
+++ b/imitator/check.go
@@ -7,101 +7,102 @@
 	"briarspring"
 )
 
-// earlyStart is how much before its time an occurrence may start, as the platform
-// states it.
-const earlyStart = 250 * time.Millisecond
+// maxEarlyStart is how long before its due time an occurrence may start; the
+// platform guarantees this bound.
+const maxEarlyStart = 250 * time.Millisecond
 
-// poolStart is a start, for the account of what must hold.
-type poolStart struct {
+// startedRun is a run that has just started, with its specification.
+type startedRun struct {
 	worker   *poolWorker
 	run      briarspring.RunRef
 	workflow *briarspring.Workflow
 	step     *briarspring.Step
 }
 
-// check notes what a start breaks.
-func (p *Pool) check(w *poolWorker, run briarspring.RunRef) {
-	s := poolStart{worker: w, run: run}
-	if at, ok := p.done[run.Task]; ok {
-		p.note(s, "started again %s after its end was acknowledged", time.Since(at))
+// checkStart records every invariant that a start violates.
+func (p *Pool) checkStart(w *poolWorker, run briarspring.RunRef) {
+	s := startedRun{worker: w, run: run}
+	if at, ok := p.acknowledgedAt[run.Task]; ok {
+		p.recordViolation(s, "started again %s after its successful end was acknowledged", time.Since(at))
 	}
 	s.workflow, s.step = p.config.Spec(run.Task)
 	if s.step == nil {
-		p.note(s, "nobody submitted it")
+		p.recordViolation(s, "its workflow was never submitted")
 		return
 	}
-	p.checkRuns(s)
-	p.checkRoom(s)
-	p.checkTurn(s)
+	p.checkDuplicates(s)
+	p.checkCapacity(s)
+	p.checkDependencies(s)
 	if !s.step.Lasting && s.workflow.MaxAttempts > 0 && p.failures[run.Task] >= s.workflow.MaxAttempts {
-		p.note(s, "it has failed %d times", p.failures[run.Task])
+		p.recordViolation(s, "it has failed %d times", p.failures[run.Task])
 	}
 }
 
-func (p *Pool) note(s poolStart, format string, args ...any) {
-	p.broken = append(p.broken, fmt.Sprintf("%v on %s: ", s.run, s.worker.entry.ID)+fmt.Sprintf(format, args...))
+func (p *Pool) recordViolation(s startedRun, format string, args ...any) {
+	p.violations = append(p.violations, fmt.Sprintf("%v on %s: ", s.run, s.worker.entry.ID)+fmt.Sprintf(format, args...))
 }
 
-// checkRuns looks for other runs of the task, and for members of its gang with
-// another number.
-func (p *Pool) checkRuns(s poolStart) {
+// checkDuplicates looks for other runs of the same task, and for members of its
+// gang with a different run number.
+func (p *Pool) checkDuplicates(s startedRun) {
 	for _, o := range p.workers {
-		p.lapse(o)
+		p.enforceLease(o)
 		for other := range o.runs {
 			if other.Task == s.run.Task {
-				p.note(s, "runs on %s as well", o.entry.ID)
+				p.recordViolation(s, "also runs on %s", o.entry.ID)
 			}
 			if s.step.Gang && sameStep(other.Task, s.run.Task) && other.Run != s.run.Run {
-				p.note(s, "a member of its gang carries the number %d on %s", other.Run, o.entry.ID)
+				p.recordViolation(s, "a member of its gang has run number %d on %s", other.Run, o.entry.ID)
 			}
 		}
 	}
 }
 
-// checkRoom looks at the worker's capacity and the bounds of the step.
-func (p *Pool) checkRoom(s poolStart) {
+// checkCapacity checks the worker's capacity and the step's limit per worker.
+func (p *Pool) checkCapacity(s startedRun) {
 	used := s.step.Resources
 	if s.step.Fills {
-		used = memoryOf(s.step)
+		used = bestEffortResources(s.step)
 	}
-	beside := 0
+	colocated := 0
 	for other := range s.worker.runs {
 		if sameStep(other.Task, s.run.Task) {
-			beside++
+			colocated++
 		}
 		_, step := p.config.Spec(other.Task)
 		switch {
 		case step == nil:
 		case step.Fills:
-			used = used.Add(memoryOf(step))
+			used = used.Add(bestEffortResources(step))
 		default:
 			used = used.Add(step.Resources)
 		}
 	}
 	if !used.Fits(s.worker.entry.Capacity) {
-		p.note(s, "%s would be in use of %s", used, s.worker.entry.Capacity)
+		p.recordViolation(s, "uses %s of a capacity of %s", used, s.worker.entry.Capacity)
 	}
-	if most := s.step.MaxPerWorker; most > 0 && beside >= most {
-		p.note(s, "%d others of its step are there", beside)
+	if limit := s.step.MaxPerWorker; limit > 0 && colocated >= limit {
+		p.recordViolation(s, "%d other tasks of its step run on the worker", colocated)
 	}
 }
 
-// memoryOf returns what a task holds that uses idle processors.
-func memoryOf(s *briarspring.Step) briarspring.Resources {
+// bestEffortResources returns the resources that a best-effort task reserves:
+// all but processors, of which it uses only idle ones.
+func bestEffortResources(s *briarspring.Step) briarspring.Resources {
 	return briarspring.NewResources(briarspring.ResourcesConfig{
 		MemoryMiB: s.Resources.MemoryMiB(), Accelerators: s.Resources.Accelerators(),
 	})
 }
 
-// checkTurn looks at the steps before and at the time at which an occurrence is
-// due.
-func (p *Pool) checkTurn(s poolStart) {
+// checkDependencies checks that the preceding steps are done and that the
+// occurrence is due.
+func (p *Pool) checkDependencies(s startedRun) {
 	task := s.run.Task
 	for _, a := range s.step.After {
 		for i := range s.workflow.Steps[a].Tasks {
-			before := briarspring.TaskRef{Workflow: task.Workflow, Occurrence: task.Occurrence, Step: a, Index: i}
-			if !p.finished[before] {
-				p.note(s, "task %d of step %d before it is not done", i, a)
+			dependency := briarspring.TaskRef{Workflow: task.Workflow, Occurrence: task.Occurrence, Step: a, Index: i}
+			if !p.finished[dependency] {
+				p.recordViolation(s, "task %d of step %d, on which it depends, is not done", i, a)
 				return
 			}
 		}
@@ -109,8 +110,8 @@
 	if s.workflow.Recurrence.Times == 0 {
 		return
 	}
-	if early := time.Until(s.workflow.Recurrence.Due(task.Occurrence)); early > earlyStart {
-		p.note(s, "it is due in %s", early)
+	if early := time.Until(s.workflow.Recurrence.Due(task.Occurrence)); early > maxEarlyStart {
+		p.recordViolation(s, "it is not due for another %s", early)
 	}
 }
 
--- a/imitator/executor.go
+++ b/imitator/executor.go
@@ -21,7 +21,7 @@
 	"briarspring/sleeper"
 )
 
-// Headers between a gateway and an executor.
+// Headers exchanged between a gateway and an executor.
 const (
 	headerRequestID = briarspring.HeaderRequestID
 	headerOutcome   = briarspring.HeaderOutcome
@@ -35,21 +35,21 @@
 	fillerBytes = 32 << 10
 )
 
-// executor is one executor of a service: an HTTP server with bounded slots and
-// connections.
+// executor is an HTTP server that runs the requests of one service, with a
+// limited number of slots and connections.
 type executor struct {
-	name        string
-	address     string
-	profile     profile
-	slots       int64
-	connections int64
-	server      *http.Server
-	slowdown    atomic.Uint64 // Bits of a float64.
-	leaving     atomic.Bool
-	inFlight    atomic.Int64
-	conns       atomic.Int64
-	mostFlight  atomic.Int64
-	mostConns   atomic.Int64
+	name         string
+	address      string
+	profile      profile
+	slots        int64
+	connections  int64
+	server       *http.Server
+	slowdown     atomic.Uint64 // Factor as the bits of a float64.
+	leaving      atomic.Bool
+	inFlight     atomic.Int64
+	conns        atomic.Int64
+	peakInFlight atomic.Int64
+	peakConns    atomic.Int64
 
 	mu        sync.Mutex
 	latencies *hdrhistogram.Histogram
@@ -57,18 +57,18 @@
 	faults    ExecutorFaults
 }
 
-// ExecutorFaults are the failures of an executor that can be switched.
+// ExecutorFaults are the faults that can be injected into an executor.
 type ExecutorFaults struct {
-	WrongID    bool          // Answers carry another request's id.
-	Hang       time.Duration // Wait before work begins.
+	WrongID    bool          // Answers carry a wrong request id.
+	Hang       time.Duration // Added to the work time of requests that hang.
 	HangShare  float64       // Share of requests that hang, 0 to 1.
 	CloseEarly bool          // Connections close before the request is read.
-	CutAnswer  bool          // Connections close in mid-answer.
+	CutAnswer  bool          // Connections close in the middle of an answer.
 	CloseAfter bool          // Connections close after the work, before the answer.
-	SlowFactor float64       // Work takes this many times longer; zero is one.
+	SlowFactor float64       // Multiplies the work; zero means 1.
 }
 
-// ExecutorCounts is an executor's own account.
+// ExecutorCounts are the counters that an executor keeps itself.
 type ExecutorCounts struct {
 	Service         string            `json:"service"`
 	Executor        string            `json:"executor"`
@@ -80,7 +80,7 @@
 	Runs            map[string]uint32 `json:"runs,omitempty"`
 }
 
-var executors sync.Map // Address to *executor, for the admin port.
+var executors sync.Map // From address to *executor, for the admin port.
 
 func newExecutor(worker, ip string, s briarspring.StartTask, p profile) (*executor, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
@@ -97,7 +97,7 @@
 	x.setSlowdown(1)
 	x.server = &http.Server{Handler: x, ConnState: x.connState, ReadHeaderTimeout: 10 * time.Second}
 	executors.Store(x.address, x)
-	go x.server.Serve(listener) //nolint:errcheck // Ends with close.
+	go x.server.Serve(listener) //nolint:errcheck // Returns when the server is closed.
 	return x, nil
 }
 
@@ -106,23 +106,24 @@
 func (x *executor) connState(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		raise(&x.mostConns, x.conns.Add(1))
+		updatePeak(&x.peakConns, x.conns.Add(1))
 	case http.StateClosed, http.StateHijacked:
 		x.conns.Add(-1)
 	}
 }
 
-// raise sets most to n if n is higher.
-func raise(most *atomic.Int64, n int64) {
+// updatePeak sets peak to n if n is higher.
+func updatePeak(peak *atomic.Int64, n int64) {
 	for {
-		old := most.Load()
-		if n <= old || most.CompareAndSwap(old, n) {
+		current := peak.Load()
+		if n <= current || peak.CompareAndSwap(current, n) {
 			return
 		}
 	}
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP runs a request, or refuses it when the executor is leaving or all
+// slots are in use.
 func (x *executor) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	x.mu.Lock()
 	faults := x.faults
@@ -130,7 +131,7 @@
 	if faults.CloseEarly {
 		panic(http.ErrAbortHandler)
 	}
-	raise(&x.mostFlight, x.inFlight.Add(1))
+	updatePeak(&x.peakInFlight, x.inFlight.Add(1))
 	defer x.inFlight.Add(-1)
 	id := r.Header.Get(headerRequestID)
 	if x.leaving.Load() {
@@ -159,23 +160,23 @@
 	x.mu.Lock()
 	x.runs[id]++
 	x.mu.Unlock()
-	begin := time.Now()
+	start := time.Now()
 	work := float64(x.profile.time) * math.Float64frombits(x.slowdown.Load())
-	if x.profile.vary > 0 {
-		work *= 1 - x.profile.vary - x.profile.vary*math.Log(1-chance(id))
+	if x.profile.variation > 0 {
+		work *= 1 - x.profile.variation - x.profile.variation*math.Log(1-hashFraction(id))
 	}
 	if faults.SlowFactor > 0 {
 		work *= faults.SlowFactor
 	}
 	d := time.Duration(work)
-	if faults.Hang > 0 && hangs(id, faults.HangShare) {
+	if faults.Hang > 0 && shouldHang(id, faults.HangShare) {
 		d += faults.Hang
 	}
 	if sleeper.For(r.Context(), d) != nil {
 		panic(http.ErrAbortHandler)
 	}
 	x.mu.Lock()
-	_ = x.latencies.RecordValue(time.Since(begin).Microseconds())
+	_ = x.latencies.RecordValue(time.Since(start).Microseconds())
 	x.mu.Unlock()
 	if faults.CloseAfter {
 		panic(http.ErrAbortHandler)
@@ -183,20 +184,21 @@
 	if faults.WrongID {
 		id = "other-" + id
 	}
-	x.answer(rw, r, id, body, faults.CutAnswer)
+	x.writeAnswer(rw, r, id, body, faults.CutAnswer)
 }
 
-// chance returns a number from zero to below one that depends on the id alone.
-func chance(id string) float64 {
+// hashFraction returns a number in [0, 1) that depends only on the id.
+func hashFraction(id string) float64 {
 	return float64(xxhash.Sum64String(id)>>11) / (1 << 53)
 }
 
-// hangs chooses the requests that hang by their id, the same in every run.
-func hangs(id string, share float64) bool { return chance(id+"-hangs") < share }
+// shouldHang reports whether a request hangs. It depends only on the id, so that
+// the same requests hang in every run.
+func shouldHang(id string, share float64) bool { return hashFraction(id+"-hangs") < share }
 
-// answer echoes the request: its id, and its body's digest followed by as many
-// bytes as the query asks for.
-func (x *executor) answer(rw http.ResponseWriter, r *http.Request, id string, body []byte, cut bool) {
+// writeAnswer echoes the request's id, path and body digest, followed by as many
+// filler bytes as the query parameter "size" asks for.
+func (x *executor) writeAnswer(rw http.ResponseWriter, r *http.Request, id string, body []byte, cut bool) {
 	digest := fnv.New64a()
 	digest.Write(body)
 	line := fmt.Sprintf("%s %s %s %s\n", x.name, id, r.URL.Path, hex.EncodeToString(digest.Sum(nil)))
@@ -207,7 +209,7 @@
 	if !r.URL.Query().Has("chunked") {
 		rw.Header().Set("Content-Length", strconv.FormatInt(int64(len(line))+size, 10))
 	}
-	io.WriteString(rw, line) //nolint:errcheck // The caller went away.
+	io.WriteString(rw, line) //nolint:errcheck // The caller disconnected.
 	filler := make([]byte, fillerBytes)
 	for i := range filler {
 		filler[i] = '.'
@@ -227,8 +229,8 @@
 	}
 }
 
-// measure returns the tail latency and the number of requests since the last
-// measurement.
+// measure returns the 99th percentile of latency and the number of requests
+// since the last measurement.
 func (x *executor) measure() (time.Duration, uint32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -238,7 +240,7 @@
 	return p99, n
 }
 
-// drain refuses new requests and waits for those in flight.
+// drain refuses new requests and waits until none is in flight.
 func (x *executor) drain() {
 	x.leaving.Store(true)
 	for x.inFlight.Load() > 0 {
@@ -246,7 +248,8 @@
 	}
 }
 
-// close ends the executor: at once, or after the answers in flight were sent.
+// close stops the server: at once, or, if graceful, after the requests in flight
+// were answered or 1 s has passed.
 func (x *executor) close(graceful bool) {
 	if !graceful {
 		x.server.Close()
@@ -265,7 +268,7 @@
 	defer x.mu.Unlock()
 	c := ExecutorCounts{
 		Executor: x.name, Address: x.address, Slots: x.slots, Connections: x.connections,
-		MostInFlight: x.mostFlight.Load(), MostConnections: x.mostConns.Load(),
+		MostInFlight: x.peakInFlight.Load(), MostConnections: x.peakConns.Load(),
 	}
 	if withRuns {
 		c.Runs = map[string]uint32{}
--- a/imitator/fleet.go
+++ b/imitator/fleet.go
@@ -12,17 +12,18 @@
 	"briarspring/sleeper"
 )
 
-// FleetFaults are the failures between callers and the workers of a Fleet.
+// FleetFaults are the faults that can be injected between callers and the
+// workers of a Fleet.
 type FleetFaults struct {
 	Latency      time.Duration // Before a call reaches the worker.
-	LoseAnswers  float64       // Share of calls whose answer is lost after the effect.
-	CutWorkers   []string      // Workers that nobody reaches.
+	LoseAnswers  float64       // Share of calls that are carried out and whose answer is lost.
+	CutWorkers   []string      // Workers that no caller reaches.
 	CutCallers   []string      // Callers that reach no worker.
-	DelayedCalls float64       // Share of calls that arrive long after the caller gave up.
-	Delay        time.Duration // Of the delayed calls.
+	DelayedCalls float64       // Share of calls that arrive after Delay, when the caller has given up.
+	Delay        time.Duration // How late delayed calls arrive.
 }
 
-// Fleet is a group of workers behind one control port.
+// Fleet is a group of workers that share one control port.
 type Fleet struct {
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -42,7 +43,7 @@
 	f.workers[w.Name()] = w
 }
 
-// Remove takes a worker out, as a host that is gone.
+// Remove removes a worker, as if its host had disappeared.
 func (f *Fleet) Remove(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,7 +57,7 @@
 	return f.workers[name]
 }
 
-// Names returns the names of all workers in order.
+// Names returns the sorted names of all workers.
 func (f *Fleet) Names() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,21 +69,21 @@
 	return names
 }
 
-// SetFaults replaces the failures in force.
+// SetFaults replaces the injected faults.
 func (f *Fleet) SetFaults(faults FleetFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
-// Faults returns the failures in force.
+// Faults returns the injected faults.
 func (f *Fleet) Faults() FleetFaults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.faults
 }
 
-// Exchange gives a worker its commands as the named caller.
+// Exchange sends commands to a worker as the named caller and returns its report.
 func (f *Fleet) Exchange(ctx context.Context, caller string, e briarspring.Exchange) (briarspring.WorkerReport, error) {
 	f.mu.Lock()
 	faults := f.faults
@@ -108,7 +109,7 @@
 	}
 	w := f.Worker(e.Worker)
 	if w == nil {
-		return briarspring.WorkerReport{}, fmt.Errorf("worker %s is not here", e.Worker)
+		return briarspring.WorkerReport{}, fmt.Errorf("worker %s does not exist", e.Worker)
 	}
 	report := w.Exchange(ctx, e)
 	if lost {
@@ -117,47 +118,49 @@
 	return report, nil
 }
 
-// FleetClient is one caller's way to the workers of a Fleet.
+// FleetClient is one caller's access to the workers of a Fleet.
 type FleetClient struct {
 	fleet  *Fleet
 	caller string
 }
 
-// Client returns the named caller's way to the workers.
+// Client returns the named caller's access to the workers.
 func (f *Fleet) Client(caller string) *FleetClient { return &FleetClient{fleet: f, caller: caller} }
 
-// Exchange gives a worker its commands; the address is not used.
+// Exchange sends commands to a worker and returns its report. The address is
+// not used.
 func (c *FleetClient) Exchange(ctx context.Context, _ string, e briarspring.Exchange) (briarspring.WorkerReport, error) {
 	return c.fleet.Exchange(ctx, c.caller, e)
 }
 
-// LogClient is one caller's way to a Log.
+// LogClient is one caller's access to a Log.
 type LogClient struct {
 	log    *Log
 	caller string
 }
 
-// Client returns the named caller's way to the log.
+// Client returns the named caller's access to the log.
 func (l *Log) Client(caller string) *LogClient { return &LogClient{log: l, caller: caller} }
 
-func (c *LogClient) cut() error {
+func (c *LogClient) checkConnection() error {
 	if slices.Contains(c.log.Faults().CutCallers, c.caller) {
-		return &OutageError{Part: "the way from " + c.caller + " to the log"}
+		return &OutageError{Part: "the connection from " + c.caller + " to the log"}
 	}
 	return nil
 }
 
 // Append appends a record and returns its offset.
 func (c *LogClient) Append(ctx context.Context, name string, record []byte) (uint64, error) {
-	if err := c.cut(); err != nil {
+	if err := c.checkConnection(); err != nil {
 		return 0, err
 	}
 	return c.log.Append(ctx, name, record)
 }
 
-// Read returns records from an offset on.
+// Read returns up to limit records starting at an offset. It waits up to wait
+// for the first one.
 func (c *LogClient) Read(ctx context.Context, name string, from uint64, limit int, wait time.Duration) (briarspring.LogPage, error) {
-	if err := c.cut(); err != nil {
+	if err := c.checkConnection(); err != nil {
 		return briarspring.LogPage{}, err
 	}
 	return c.log.Read(ctx, name, from, limit, wait)
--- a/imitator/gang.go
+++ b/imitator/gang.go
@@ -6,78 +6,80 @@
 	"briarspring"
 )
 
-// gangWait is how long a member of a gang waits for the others; the platform
-// states 3 to 4 s.
-const gangWait = 3 * time.Second
+// gangTimeout is how long a member of a gang waits for the others to start; the
+// platform guarantees 3 to 4 s.
+const gangTimeout = 3 * time.Second
 
-// member is a run of a gang that is alive.
-type member struct {
+// gangMember is a live run of a gang.
+type gangMember struct {
 	worker *poolWorker
 	ref    briarspring.RunRef
 	run    *poolRun
 }
 
-// members returns the runs that are alive of the gang of a run.
-func (p *Pool) members(ref briarspring.RunRef) []member {
-	var list []member
+// gangMembers returns the live runs of the gang that a run belongs to.
+func (p *Pool) gangMembers(ref briarspring.RunRef) []gangMember {
+	var list []gangMember
 	for _, w := range p.workers {
 		for other, r := range w.runs {
 			if sameStep(other.Task, ref.Task) && other.Run == ref.Run {
-				list = append(list, member{worker: w, ref: other, run: r})
+				list = append(list, gangMember{worker: w, ref: other, run: r})
 			}
 		}
 	}
 	return list
 }
 
-// join has a run begin its work; that of a gang when all members are present.
-func (p *Pool) join(w *poolWorker, ref briarspring.RunRef, r *poolRun) {
+// beginWork starts the work of a run. The members of a gang begin together when
+// all of them have started; a member that waits longer than gangTimeout ends.
+func (p *Pool) beginWork(w *poolWorker, ref briarspring.RunRef, r *poolRun) {
 	if r.step == nil || !r.step.Gang {
-		r.schedule()
+		r.scheduleFinish()
 		return
 	}
-	r.waits = true
-	members := p.members(ref)
+	r.awaitsGang = true
+	members := p.gangMembers(ref)
 	if len(members) < r.step.Tasks {
-		time.AfterFunc(gangWait, func() {
+		time.AfterFunc(gangTimeout, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			if w.runs[ref] == r && r.waits {
-				p.end(w, ref, briarspring.RunAlone, "")
+			if w.runs[ref] == r && r.awaitsGang {
+				p.endRun(w, ref, briarspring.RunAlone, "")
 			}
 		})
 		return
 	}
 	for _, m := range members {
-		m.run.waits = false
-		m.run.since = time.Now()
-		m.run.schedule()
+		m.run.awaitsGang = false
+		m.run.advancedAt = time.Now()
+		m.run.scheduleFinish()
 	}
 }
 
-// part ends the other members of a run's gang: as done when the run is, and else
-// as broken. A gang fails as a whole.
-func (p *Pool) part(ref briarspring.RunRef, r *poolRun, how briarspring.RunEnd) {
+// endGang ends the other members of a run's gang: as done if the run is done,
+// otherwise as RunBroken. A gang fails as a whole.
+func (p *Pool) endGang(ref briarspring.RunRef, r *poolRun, outcome briarspring.RunEnd) {
 	if r == nil || r.step == nil || !r.step.Gang {
 		return
 	}
-	if how == briarspring.RunFailed {
-		p.failGang(ref, r.step.Tasks)
+	if outcome == briarspring.RunFailed {
+		p.countGangFailures(ref, r.step.Tasks)
 	}
-	other := briarspring.RunBroken
-	if how == briarspring.RunDone {
-		other = briarspring.RunDone
+	memberOutcome := briarspring.RunBroken
+	if outcome == briarspring.RunDone {
+		memberOutcome = briarspring.RunDone
 	}
-	for _, m := range p.members(ref) {
-		// Each end ends the others in turn, so that this one may be gone by now.
+	for _, m := range p.gangMembers(ref) {
+		// endRun calls endGang again, so this member may have ended already.
 		if m.worker.runs[m.ref] == m.run {
-			p.end(m.worker, m.ref, other, "")
+			p.endRun(m.worker, m.ref, memberOutcome, "")
 		}
 	}
 }
 
-// failGang counts a failure for the members but the one that is counted already.
-func (p *Pool) failGang(ref briarspring.RunRef, tasks int) {
+// countGangFailures counts a failure for every member of the gang except the one
+// whose failure endRun has counted.
+func (p *Pool) countGangFailures(ref briarspring.RunRef, tasks int) {
 	for i := range tasks {
 		if i == ref.Task.Index {
 			continue
--- a/imitator/handler.go
+++ b/imitator/handler.go
@@ -12,7 +12,8 @@
 	"briarspring/gen/platform/v1/platformv1connect"
 )
 
-// headerCaller names the calling process, so that single callers can be cut off.
+// headerCaller names the calling process, so that faults can cut off single
+// callers.
 const headerCaller = "Platform-Caller"
 
 // LogHandler returns the path and handler that serve a log.
--- a/imitator/hosts.go
+++ b/imitator/hosts.go
@@ -10,7 +10,8 @@
 	"briarspring"
 )
 
-// Hosts is the list of live and leaving hosts. Changes show after a lag.
+// Hosts is a stand-in for the platform's list of live and leaving hosts. Changes
+// become visible after a lag.
 type Hosts struct {
 	lag time.Duration
 
@@ -20,27 +21,28 @@
 }
 
 type hostChange struct {
-	at   time.Time
-	host briarspring.Host
-	gone bool
+	at      time.Time
+	host    briarspring.Host
+	removed bool
 }
 
-// NewHosts returns an empty list whose changes show after lag.
+// NewHosts returns an empty list whose changes become visible after lag.
 func NewHosts(lag time.Duration) *Hosts { return &Hosts{lag: lag} }
 
 // Put adds or replaces a host.
 func (h *Hosts) Put(host briarspring.Host) { h.change(hostChange{host: host}) }
 
-// Remove takes a host off the list.
+// Remove removes a host from the list.
 func (h *Hosts) Remove(name string) {
-	h.change(hostChange{host: briarspring.Host{Name: name}, gone: true})
+	h.change(hostChange{host: briarspring.Host{Name: name}, removed: true})
 }
 
-// SetLeaving marks a host as leaving or not.
+// SetLeaving sets whether a host is leaving. It returns false when the host does
+// not exist.
 func (h *Hosts) SetLeaving(name string, leaving bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	host, ok := h.fold(time.Now())[name]
+	host, ok := h.hostsAt(time.Now())[name]
 	if !ok {
 		return false
 	}
@@ -49,7 +51,7 @@
 	return true
 }
 
-// SetDown makes List fail, or work again.
+// SetDown sets whether calls of Hosts fail.
 func (h *Hosts) SetDown(down bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,14 +65,14 @@
 	h.changes = append(h.changes, c)
 }
 
-// fold returns the hosts as they stood at a time.
-func (h *Hosts) fold(at time.Time) map[string]briarspring.Host {
+// hostsAt returns the hosts by name as of a time.
+func (h *Hosts) hostsAt(at time.Time) map[string]briarspring.Host {
 	hosts := map[string]briarspring.Host{}
 	for _, c := range h.changes {
 		if c.at.After(at) {
 			break
 		}
-		if c.gone {
+		if c.removed {
 			delete(hosts, c.host.Name)
 		} else {
 			hosts[c.host.Name] = c.host
@@ -79,8 +81,8 @@
 	return hosts
 }
 
-// Hosts returns the hosts of a data centre, or of all when it is empty, as they
-// stood one lag ago, in order of name.
+// Hosts returns the hosts of a data centre as of one lag ago, sorted by name. An
+// empty data centre means all.
 func (h *Hosts) Hosts(_ context.Context, dataCentre string) ([]briarspring.Host, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,7 +90,7 @@
 		return nil, &OutageError{Part: "hosts"}
 	}
 	var list []briarspring.Host
-	for _, host := range h.fold(time.Now().Add(-h.lag)) {
+	for _, host := range h.hostsAt(time.Now().Add(-h.lag)) {
 		if dataCentre == "" || host.DataCentre == dataCentre {
 			list = append(list, host)
 		}
--- a/imitator/journal.go
+++ b/imitator/journal.go
@@ -7,27 +7,27 @@
 	"briarspring"
 )
 
-// JournalKind tells what a worker did with an attempt.
+// JournalKind is the kind of a journal entry.
 type JournalKind string
 
-// What a worker did with an attempt.
+// Events of an attempt.
 const (
 	JournalStart      JournalKind = "start"
 	JournalDone       JournalKind = "done"
 	JournalFailed     JournalKind = "failed"
 	JournalCheckpoint JournalKind = "checkpoint"
 	JournalLapsed     JournalKind = "lapsed"
-	JournalLeaseEnd   JournalKind = "lease-end" // Of the worker itself; names no attempt.
+	JournalLeaseEnd   JournalKind = "lease-end" // Of the worker; the entry has no attempt.
 )
 
-var journalKinds = map[briarspring.TaskPhase]JournalKind{
+var journalKindByPhase = map[briarspring.TaskPhase]JournalKind{
 	briarspring.TaskDone:         JournalDone,
 	briarspring.TaskFailed:       JournalFailed,
 	briarspring.TaskCheckpointed: JournalCheckpoint,
 	briarspring.TaskLapsed:       JournalLapsed,
 }
 
-// JournalEntry is one thing that a worker did, by its own word.
+// JournalEntry is one event on a worker, recorded by the worker itself.
 type JournalEntry struct {
 	Time       time.Time
 	Worker     string
@@ -36,12 +36,13 @@
 	Name       string
 	Resources  briarspring.Resources
 	Capacity   briarspring.Resources // Of the worker.
-	Checkpoint uint64                // That the attempt resumed from.
-	Saved      uint64                // That the attempt left behind.
-	Work       time.Duration         // Done by the task so far, at the end of an attempt.
+	Checkpoint uint64                // Checkpoint that the attempt resumed from.
+	Saved      uint64                // Checkpoint that the attempt saved.
+	Work       time.Duration         // Work done by the task so far; set when an attempt ends.
 }
 
-// Journal collects what workers did, independent of the scheduler.
+// Journal records the events on workers, independently of the scheduler, so that
+// tests can check the scheduler against it.
 type Journal struct {
 	mu      sync.Mutex
 	entries []JournalEntry
@@ -53,7 +54,7 @@
 	j.entries = append(j.entries, e)
 }
 
-// Entries returns everything collected so far, in order of time.
+// Entries returns all entries so far, in the order in which they were added.
 func (j *Journal) Entries() []JournalEntry {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/imitator/keyed.go
+++ b/imitator/keyed.go
@@ -12,58 +12,60 @@
 	"briarspring/sleeper"
 )
 
-// KeyedStore is a stand-in for the platform's keyed streams.
+// KeyedStore is a stand-in for the platform's keyed streams, held in memory.
 type KeyedStore struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	faults  KeyedFaults
-	streams map[string]*keyedStream
-	page    int // Most records of an answer to Newest.
+	mu       sync.Mutex
+	random   *rand.Rand
+	faults   KeyedFaults
+	streams  map[string]*keyedStream
+	pageSize int // Maximum number of records in an answer of Newest.
 }
 
-// KeyedFaults are the failures of a KeyedStore that can be switched while it
+// KeyedFaults are the faults that can be injected into a KeyedStore while it
 // runs.
 type KeyedFaults struct {
-	Down       bool          // Calls are refused.
+	Down       bool          // Calls fail with NotDoneError.
 	Silent     bool          // Calls get no answer.
 	Latency    time.Duration // Of each call.
-	LoseShare  float64       // Share of appends that are done and not answered.
-	LateShare  float64       // Share of those that are done seconds later.
+	LoseShare  float64       // Share of appends that get no answer.
+	LateShare  float64       // Share of those that are carried out seconds later.
 	CutCallers map[string]bool
 }
 
 type keyedStream struct {
-	first    uint64 // Oldest offset that is kept in the history.
-	end      uint64
-	history  []briarspring.KeyedRecord
-	newest   map[string]briarspring.KeyedRecord
-	epoch    uint64
-	sequence uint64
-	answers  map[uint64]uint64 // Ends of appends by their sequence.
-	grown    chan struct{}
+	first         uint64 // Oldest offset in the history.
+	end           uint64
+	history       []briarspring.KeyedRecord
+	newest        map[string]briarspring.KeyedRecord
+	epoch         uint64
+	sequence      uint64
+	endBySequence map[uint64]uint64 // Answers to the appends of this epoch, for repeats.
+	appended      chan struct{}
 }
 
-// NewKeyedStore returns an empty store; the seed chooses which answers are lost.
+// NewKeyedStore returns an empty store. The seed determines which answers are
+// lost.
 func NewKeyedStore(seed uint64) *KeyedStore {
-	return &KeyedStore{random: rand.New(rand.NewPCG(seed, seed)), streams: map[string]*keyedStream{}, page: newestPage}
+	return &KeyedStore{random: rand.New(rand.NewPCG(seed, seed)), streams: map[string]*keyedStream{}, pageSize: defaultPageSize}
 }
 
-// SetPage changes how many newest records an answer holds at most. Pages are no
-// snapshot, so small ones show callers that take them for one.
+// SetPage sets the maximum number of records in an answer of Newest. Several
+// pages are not a consistent snapshot; small pages expose callers that rely on
+// one.
 func (s *KeyedStore) SetPage(records int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.page = records
+	s.pageSize = records
 }
 
-// SetFaults replaces the failures.
+// SetFaults replaces the injected faults.
 func (s *KeyedStore) SetFaults(f KeyedFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Cut cuts a caller off, or connects it again.
+// Cut disconnects a caller from the store or reconnects it.
 func (s *KeyedStore) Cut(caller string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +75,8 @@
 	s.faults.CutCallers[caller] = cut
 }
 
-// Forget drops the history of all streams; the newest record of each key stays.
+// Forget drops the history of all streams and keeps the newest record of each
+// key.
 func (s *KeyedStore) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,17 +86,17 @@
 	}
 }
 
-// Put writes a record as somebody who is never cut off.
+// Put writes records without latency, faults or fence.
 func (s *KeyedStore) Put(stream string, records ...briarspring.KeyedRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stream(stream).add(records)
 }
 
-// For returns the store as a caller reaches it.
+// For returns the named caller's access to the store.
 func (s *KeyedStore) For(caller string) *KeyedClient { return &KeyedClient{store: s, caller: caller} }
 
-// KeyedClient is a caller's access to a KeyedStore.
+// KeyedClient is one caller's access to a KeyedStore.
 type KeyedClient struct {
 	store  *KeyedStore
 	caller string
@@ -102,7 +105,7 @@
 func (s *KeyedStore) stream(name string) *keyedStream {
 	st := s.streams[name]
 	if st == nil {
-		st = &keyedStream{newest: map[string]briarspring.KeyedRecord{}, answers: map[uint64]uint64{}, grown: make(chan struct{})}
+		st = &keyedStream{newest: map[string]briarspring.KeyedRecord{}, endBySequence: map[uint64]uint64{}, appended: make(chan struct{})}
 		s.streams[name] = st
 	}
 	return st
@@ -120,13 +123,13 @@
 		}
 	}
 	if len(records) > 0 {
-		close(st.grown)
-		st.grown = make(chan struct{})
+		close(st.appended)
+		st.appended = make(chan struct{})
 	}
 }
 
-// arrive waits for the store's latency, and fails as its faults say.
-func (c *KeyedClient) arrive(ctx context.Context, call string) error {
+// simulateFaults waits for the latency and fails as the injected faults require.
+func (c *KeyedClient) simulateFaults(ctx context.Context, call string) error {
 	c.store.mu.Lock()
 	f := c.store.faults
 	cut := f.CutCallers[c.caller]
@@ -144,15 +147,15 @@
 	return nil
 }
 
-// A late append is done 1 to 6 s after it was sent, as on the platform.
+// A late append is carried out 1 to 6 s after it was sent, as on the platform.
 const (
 	lateAppendAfter  = time.Second
 	lateAppendSpread = 5 * time.Second
 )
 
-// Append adds records to a stream.
+// Append adds records to a stream and returns the offset after them.
 func (c *KeyedClient) Append(ctx context.Context, stream string, records []briarspring.KeyedRecord, fence briarspring.Fence) (uint64, error) {
-	if err := c.arrive(ctx, "append"); err != nil {
+	if err := c.simulateFaults(ctx, "append"); err != nil {
 		return 0, err
 	}
 	s := c.store
@@ -190,22 +193,23 @@
 	}
 	st.add(records)
 	if fence.Epoch > 0 {
-		st.answers[fence.Sequence] = st.end
+		st.endBySequence[fence.Sequence] = st.end
 	}
 	return st.end, nil
 }
 
-// checkFence takes the sequence of an append; known is true for a repeat.
+// checkFence checks and stores the epoch and sequence of an append. For a repeat
+// it returns known and the first answer.
 func (st *keyedStream) checkFence(stream string, f briarspring.Fence) (next uint64, known bool, err error) {
 	switch {
 	case f.Epoch < st.epoch:
 		return 0, false, &briarspring.FencedError{Stream: stream, Epoch: f.Epoch}
 	case f.Epoch > st.epoch:
 		st.epoch = f.Epoch
-		clear(st.answers)
+		clear(st.endBySequence)
 	case f.Sequence == st.sequence+1:
 	default:
-		if next, ok := st.answers[f.Sequence]; ok {
+		if next, ok := st.endBySequence[f.Sequence]; ok {
 			return next, true, nil
 		}
 		return 0, false, &briarspring.SequenceError{Stream: stream, Sent: f.Sequence, Expected: st.sequence + 1}
@@ -214,20 +218,21 @@
 	return 0, false, nil
 }
 
-// Read returns the records from an offset on.
+// Read returns the records starting at an offset. It waits up to wait for the
+// first one.
 func (c *KeyedClient) Read(ctx context.Context, stream string, from uint64, wait time.Duration) (briarspring.KeyedPage, error) {
-	if err := c.arrive(ctx, "read"); err != nil {
+	if err := c.simulateFaults(ctx, "read"); err != nil {
 		return briarspring.KeyedPage{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		page, grown, err := c.store.read(stream, from)
+		page, appended, err := c.store.read(stream, from)
 		if err != nil || len(page.Records) > 0 {
 			return page, err
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timer.C:
 			return page, nil
 		case <-ctx.Done():
@@ -247,15 +252,17 @@
 	if from < st.end {
 		page.Records = slices.Clone(st.history[from-st.first:])
 	}
-	return page, st.grown, nil
+	return page, st.appended, nil
 }
 
-// newestPage bounds the records of one answer.
-const newestPage = 500
+// defaultPageSize is the maximum number of records in an answer of Newest unless
+// SetPage changes it.
+const defaultPageSize = 500
 
-// Newest returns the newest record of every key after a key.
+// Newest returns the newest records of the keys greater than after, sorted by
+// key, and whether there are more.
 func (c *KeyedClient) Newest(ctx context.Context, stream, after string) (briarspring.KeyedPage, bool, error) {
-	if err := c.arrive(ctx, "newest"); err != nil {
+	if err := c.simulateFaults(ctx, "newest"); err != nil {
 		return briarspring.KeyedPage{}, false, err
 	}
 	c.store.mu.Lock()
@@ -268,9 +275,9 @@
 		}
 	}
 	slices.SortFunc(page.Records, func(a, b briarspring.KeyedRecord) int { return cmp.Compare(a.Key, b.Key) })
-	more := len(page.Records) > c.store.page
+	more := len(page.Records) > c.store.pageSize
 	if more {
-		page.Records = page.Records[:c.store.page]
+		page.Records = page.Records[:c.store.pageSize]
 	}
 	return page, more, nil
 }
--- a/imitator/listing.go
+++ b/imitator/listing.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// entryInterval between two writes of a worker's entry.
+	// entryInterval is the time between two writes of a worker's entry.
 	entryInterval = time.Second
-	// entryLife of an entry whose worker is silent: three intervals.
-	entryLife = 3 * entryInterval
+	// entryTTL is how long the entry of a silent worker stays: three intervals.
+	entryTTL = 3 * entryInterval
 )
 
-// Listing keeps the entries of a Pool's workers in a KeyedStore.
+// Listing publishes the entries of a Pool's workers in a KeyedStore.
 type Listing struct {
 	config ListingConfig
-	seen   map[string]time.Time // When a worker was last up.
+	lastUp map[string]time.Time // When each worker was last up.
 	done   chan struct{}
 }
 
@@ -28,11 +28,11 @@
 type ListingConfig struct {
 	Pool   *Pool
 	Store  *KeyedStore
-	Encode func(briarspring.WorkerEntry) (briarspring.KeyedRecord, error) // Nil for WorkerRecord.
+	Encode func(briarspring.WorkerEntry) (briarspring.KeyedRecord, error) // Nil means WorkerRecord.
 	Logger hclog.Logger
 }
 
-// NewListing returns a listing; Run keeps it up to date.
+// NewListing returns a listing that publishes entries while Run runs.
 func NewListing(c ListingConfig) *Listing {
 	if c.Encode == nil {
 		c.Encode = WorkerRecord
@@ -40,7 +40,7 @@
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
 	}
-	return &Listing{config: c, seen: map[string]time.Time{}, done: make(chan struct{})}
+	return &Listing{config: c, lastUp: map[string]time.Time{}, done: make(chan struct{})}
 }
 
 // Done returns a channel that is closed when Run has ended.
@@ -50,29 +50,29 @@
 func (l *Listing) Run(ctx context.Context) {
 	defer close(l.done)
 	for {
-		l.write()
+		l.writeEntries()
 		if sleeper.For(ctx, entryInterval) != nil {
 			return
 		}
 	}
 }
 
-// write writes the entries of all workers that are up and drops those of workers
-// that have been silent for too long.
-func (l *Listing) write() {
+// writeEntries writes the entries of all workers that are up and removes those of
+// workers that have been silent for longer than entryTTL.
+func (l *Listing) writeEntries() {
 	now := time.Now()
 	for _, e := range l.config.Pool.Entries() {
 		record, err := l.config.Encode(e)
 		if err != nil {
-			l.config.Logger.Error("entry can't be encoded", "worker", e.ID, "error", err)
+			l.config.Logger.Error("worker entry can't be encoded", "worker", e.ID, "error", err)
 			continue
 		}
-		l.seen[e.ID] = now
+		l.lastUp[e.ID] = now
 		l.config.Store.Put(briarspring.WorkersStream, record)
 	}
-	for id, at := range l.seen {
-		if now.Sub(at) > entryLife {
-			delete(l.seen, id)
+	for id, at := range l.lastUp {
+		if now.Sub(at) > entryTTL {
+			delete(l.lastUp, id)
 			l.config.Store.Put(briarspring.WorkersStream, briarspring.KeyedRecord{Key: id})
 		}
 	}
--- a/imitator/log.go
+++ b/imitator/log.go
@@ -1,6 +1,6 @@
-// Package imitator holds small stand-ins for the platform: the log, the list of
-// hosts and the workers. Tests and the dev command use them in a process or
-// over the platform's protocol.
+// Package imitator contains in-memory stand-ins for the platform: the log, the
+// keyed streams, the list of hosts and the workers. Tests and the dev command use
+// them within a process or over the platform's protocol.
 package imitator
 
 import (
@@ -16,7 +16,7 @@
 	"briarspring/sleeper"
 )
 
-// OutageError tells that a stand-in was told to be down.
+// OutageError reports a call to a stand-in that was set to be down.
 type OutageError struct {
 	Part string
 }
@@ -24,7 +24,8 @@
 // Error implements error.
 func (e *OutageError) Error() string { return e.Part + " is down" }
 
-// LostAnswerError tells that a stand-in dropped its answer after the effect.
+// LostAnswerError reports that a stand-in dropped its answer; the call may have
+// been carried out.
 type LostAnswerError struct {
 	Part string
 }
@@ -34,13 +35,13 @@
 
 // LogConfig holds the settings of a Log.
 type LogConfig struct {
-	KeepRecords      int           // Records kept in a stream; zero keeps all.
+	KeepRecords      int           // Records kept per stream; zero keeps all.
 	KeepFor          time.Duration // Age of the oldest record kept; zero keeps all.
-	AppendsPerSecond float64       // Zero means no bound.
-	Seed             uint64        // Of the choice of lost answers.
+	AppendsPerSecond float64       // Zero means no limit.
+	Seed             uint64        // Determines which requests and answers are lost.
 }
 
-// LogFaults are the failures of a Log that can be switched while it runs.
+// LogFaults are the faults that can be injected into a Log while it runs.
 type LogFaults struct {
 	Down         bool
 	Latency      time.Duration // Added to each call.
@@ -63,10 +64,10 @@
 }
 
 type stream struct {
-	oldest  uint64
-	records [][]byte
-	times   []time.Time
-	grown   chan struct{} // Closed when a record is appended.
+	oldest   uint64
+	records  [][]byte
+	times    []time.Time
+	appended chan struct{} // Closed when a record is appended.
 }
 
 // NewLog returns an empty log.
@@ -83,14 +84,14 @@
 	return l
 }
 
-// SetFaults replaces the failures in force.
+// SetFaults replaces the injected faults.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Faults returns the failures in force.
+// Faults returns the injected faults.
 func (l *Log) Faults() LogFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,8 +112,8 @@
 	return l.bytes[stream]
 }
 
-// enter waits for the latency in force and fails when the log is down.
-func (l *Log) enter(ctx context.Context) error {
+// simulateFaults waits for the injected latency and fails when the log is down.
+func (l *Log) simulateFaults(ctx context.Context) error {
 	f := l.Faults()
 	if f.Latency > 0 {
 		if err := sleeper.For(ctx, f.Latency); err != nil {
@@ -127,7 +128,7 @@
 
 // Append appends a record and returns its offset.
 func (l *Log) Append(ctx context.Context, name string, record []byte) (uint64, error) {
-	if err := l.enter(ctx); err != nil {
+	if err := l.simulateFaults(ctx); err != nil {
 		return 0, err
 	}
 	if l.limiter != nil {
@@ -145,9 +146,9 @@
 	s.times = append(s.times, time.Now())
 	l.appends++
 	l.bytes[name] += uint64(len(record))
-	offset := s.next() - 1
-	close(s.grown)
-	s.grown = make(chan struct{})
+	offset := s.nextOffset() - 1
+	close(s.appended)
+	s.appended = make(chan struct{})
 	l.trim(s)
 	if l.random.Float64() < l.faults.LoseAnswers {
 		return 0, &LostAnswerError{Part: "log"}
@@ -155,24 +156,25 @@
 	return offset, nil
 }
 
-// Read returns records from an offset on. It waits for one when there is none.
+// Read returns up to limit records starting at an offset. It waits up to wait
+// for the first one.
 func (l *Log) Read(ctx context.Context, name string, from uint64, limit int, wait time.Duration) (briarspring.LogPage, error) {
-	if err := l.enter(ctx); err != nil {
+	if err := l.simulateFaults(ctx); err != nil {
 		return briarspring.LogPage{}, err
 	}
 	deadline := time.Now().Add(wait)
 	for {
-		page, grown := l.page(name, from, limit)
-		left := time.Until(deadline)
-		if len(page.Entries) > 0 || from < page.Oldest || left <= 0 {
+		page, appended := l.page(name, from, limit)
+		remaining := time.Until(deadline)
+		if len(page.Entries) > 0 || from < page.Oldest || remaining <= 0 {
 			return page, nil
 		}
-		t := time.NewTimer(left)
+		t := time.NewTimer(remaining)
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return briarspring.LogPage{}, ctx.Err()
-		case <-grown:
+		case <-appended:
 		case <-t.C:
 		}
 		t.Stop()
@@ -187,29 +189,29 @@
 	defer l.mu.Unlock()
 	s := l.stream(name)
 	l.trim(s)
-	page := briarspring.LogPage{Oldest: s.oldest, Next: s.next()}
+	page := briarspring.LogPage{Oldest: s.oldest, Next: s.nextOffset()}
 	if from >= s.oldest {
-		for offset := from; offset < s.next() && len(page.Entries) < limit; offset++ {
+		for offset := from; offset < s.nextOffset() && len(page.Entries) < limit; offset++ {
 			page.Entries = append(page.Entries, briarspring.LogEntry{
 				Offset: offset, Record: s.records[offset-s.oldest],
 			})
 		}
 	}
-	return page, s.grown
+	return page, s.appended
 }
 
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
-		s = &stream{oldest: 1, grown: make(chan struct{})}
+		s = &stream{oldest: 1, appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
-func (s *stream) next() uint64 { return s.oldest + uint64(len(s.records)) }
+func (s *stream) nextOffset() uint64 { return s.oldest + uint64(len(s.records)) }
 
-// trim drops the records that retention no longer keeps.
+// trim drops the records that exceed the retention limits.
 func (l *Log) trim(s *stream) {
 	drop := 0
 	if l.config.KeepRecords > 0 {
@@ -226,13 +228,13 @@
 	s.times = s.times[drop:]
 }
 
-// String describes the log for a tester.
+// String lists the streams and their offsets, for debugging.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := ""
 	for name, s := range l.streams {
-		out += fmt.Sprintf("%s: offsets %d to %d\n", name, s.oldest, s.next()-1)
+		out += fmt.Sprintf("%s: offsets %d to %d\n", name, s.oldest, s.nextOffset()-1)
 	}
 	return out
 }
--- a/imitator/pool.go
+++ b/imitator/pool.go
@@ -16,130 +16,133 @@
 // PoolConfig holds the settings of a Pool.
 type PoolConfig struct {
 	Seed    uint64
-	Latency time.Duration // Of a call.
-	// Plan tells how long a run works and how it ends. Lasting tasks get zero.
+	Latency time.Duration // Added to each call.
+	// Plan returns how long a run works and how it ends. Long-running tasks get
+	// zero.
 	Plan func(briarspring.RunRef) (work time.Duration, end briarspring.RunEnd)
-	// Spec returns the step of a task, for the account of what must hold.
+	// Spec returns the workflow and step of a task, to check invariants. The step is
+	// nil for a task that was never submitted.
 	Spec func(briarspring.TaskRef) (*briarspring.Workflow, *briarspring.Step)
-	// Press returns by how much one core of an image that fills raises the tail of
-	// an image that serves, as a share of its target. Nil reports no tails.
-	Press func(serving, filling string) float64
+	// Interference returns by how much one core of a best-effort image raises the
+	// tail latency of a serving image, as a fraction of the latter's target. If it
+	// is nil, no usage is reported.
+	Interference func(serving, bestEffort string) float64
 }
 
-// Pool is a stand-in for workers that run tasks under leases. It keeps an
-// account of all runs and notes what must never happen.
+// Pool is a stand-in for workers that run tasks under leases. It tracks all runs
+// and records violations of the scheduler's invariants.
 type Pool struct {
 	config PoolConfig
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	workers  map[string]*poolWorker
-	cut      map[[2]string]bool // Caller and worker.
-	loose    float64            // Share of orders without an answer that are carried out late.
-	broken   []string
-	done     map[briarspring.TaskRef]time.Time // When the end was acknowledged.
-	failures map[briarspring.TaskRef]int
-	finished map[briarspring.TaskRef]bool // Tasks of which a run has ended done.
-	started  map[briarspring.WorkflowID]bool
-	account  PoolAccount
+	mu             sync.Mutex
+	random         *rand.Rand
+	workers        map[string]*poolWorker
+	cut            map[[2]string]bool // By caller and worker.
+	lateShare      float64            // Share of orders that get no answer and are carried out late.
+	violations     []string
+	acknowledgedAt map[briarspring.TaskRef]time.Time // When a successful end was acknowledged.
+	failures       map[briarspring.TaskRef]int
+	finished       map[briarspring.TaskRef]bool // Tasks with a run that ended as RunDone.
+	started        map[briarspring.WorkflowID]bool
+	counts         PoolCounts
 }
 
-// PoolAccount counts what a pool's workers saw.
-type PoolAccount struct {
-	Starts   int // Runs that began.
-	Paces    int // Orders that changed the speed of a run.
-	Readings int // Tails of lasting tasks that were reported.
-	Over     int // Those above their target.
+// PoolCounts are the event counters of a pool's workers.
+type PoolCounts struct {
+	Starts          int // Runs started.
+	Paces           int // Orders that set the speed of a run.
+	TailReports     int // Reports of a long-running task's tail latency.
+	TailsOverTarget int // Reports of a tail latency above its target.
 }
 
 type poolWorker struct {
-	entry   briarspring.WorkerEntry
-	up      bool
-	began   time.Time
-	life    int
-	token   uint64
-	until   time.Duration
-	runs    map[briarspring.RunRef]*poolRun
-	ended   []briarspring.EndedTask
-	number  uint64
-	unheard uint64 // Ends up to this number were not acknowledged when the lease ended.
-	highest map[briarspring.TaskRef]uint32
-	changed chan struct{}
+	entry           briarspring.WorkerEntry
+	up              bool
+	startedAt       time.Time
+	incarnation     int
+	token           uint64
+	leaseEnd        time.Duration
+	runs            map[briarspring.RunRef]*poolRun
+	ended           []briarspring.EndedTask
+	lastEndNumber   uint64
+	unackedAtExpiry uint64 // Last end number when the lease expired; see acknowledge.
+	highestRun      map[briarspring.TaskRef]uint32
+	changed         chan struct{}
 }
 
 // NewPool returns a pool without workers.
 func NewPool(c PoolConfig) *Pool {
 	return &Pool{
 		config: c, random: rand.New(rand.NewPCG(c.Seed, c.Seed+1)), workers: map[string]*poolWorker{},
-		cut: map[[2]string]bool{}, done: map[briarspring.TaskRef]time.Time{}, failures: map[briarspring.TaskRef]int{},
+		cut: map[[2]string]bool{}, acknowledgedAt: map[briarspring.TaskRef]time.Time{}, failures: map[briarspring.TaskRef]int{},
 		finished: map[briarspring.TaskRef]bool{}, started: map[briarspring.WorkflowID]bool{},
 	}
 }
 
-// Add starts a worker; its address is its ID.
+// Add adds a worker and starts it. Its address is its ID.
 func (p *Pool) Add(e briarspring.WorkerEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e.Address = e.ID
 	w := &poolWorker{entry: e}
 	p.workers[e.ID] = w
-	p.begin(w)
+	p.startWorker(w)
 }
 
-func (p *Pool) begin(w *poolWorker) {
+func (p *Pool) startWorker(w *poolWorker) {
 	w.up = true
-	w.life++
-	w.began = time.Now()
-	w.entry.Born = w.began.UnixMilli()
-	w.token, w.until, w.number, w.unheard = 0, 0, 0, 0
+	w.incarnation++
+	w.startedAt = time.Now()
+	w.entry.Born = w.startedAt.UnixMilli()
+	w.token, w.leaseEnd, w.lastEndNumber, w.unackedAtExpiry = 0, 0, 0, 0
 	w.runs = map[briarspring.RunRef]*poolRun{}
-	w.highest = map[briarspring.TaskRef]uint32{}
+	w.highestRun = map[briarspring.TaskRef]uint32{}
 	w.ended = nil
 	w.changed = make(chan struct{})
 }
 
-// Crash ends a worker's life; everything that ran there is gone.
+// Crash stops a worker. Its runs and its unacknowledged ends are lost.
 func (p *Pool) Crash(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w := p.workers[id]
-	gone := w.runs
+	crashedRuns := w.runs
 	w.up = false
-	w.life++
+	w.incarnation++
 	w.runs = map[briarspring.RunRef]*poolRun{}
-	for ref, r := range gone {
-		p.part(ref, r, briarspring.RunLapsed)
+	for ref, r := range crashedRuns {
+		p.endGang(ref, r, briarspring.RunLapsed)
 	}
 	w.ended = nil
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// Restart begins a new life of a crashed worker.
+// Restart starts a crashed worker as a new incarnation.
 func (p *Pool) Restart(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w := p.workers[id]; !w.up {
-		p.begin(w)
+		p.startWorker(w)
 	}
 }
 
-// Cut cuts the path of a caller to a worker, or mends it.
+// Cut disconnects a caller from a worker or reconnects it.
 func (p *Pool) Cut(caller, worker string, cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cut[[2]string{caller, worker}] = cut
 }
 
-// LoseOrders makes a share of the orders go without an answer and be carried
-// out seconds later.
+// LoseOrders sets the share of orders that get no answer and are carried out
+// seconds later.
 func (p *Pool) LoseOrders(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loose = share
+	p.lateShare = share
 }
 
-// Entries returns the entries of the workers that are up.
+// Entries returns the entries of the workers that are up, sorted by ID.
 func (p *Pool) Entries() []briarspring.WorkerEntry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,17 +156,17 @@
 	return list
 }
 
-// Broken returns what happened that must never happen.
+// Broken returns the violated invariants so far.
 func (p *Pool) Broken() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.broken)
+	return slices.Clone(p.violations)
 }
 
-// Running returns the number of runs of a task that are alive.
+// Running returns the number of live runs of a task.
 func (p *Pool) Running(t briarspring.TaskRef) int { return len(p.Where(t)) }
 
-// Where returns the workers on which runs of a task are alive.
+// Where returns the live runs of a task, each as worker and run number.
 func (p *Pool) Where(t briarspring.TaskRef) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,7 +182,7 @@
 	return list
 }
 
-// Finished reports whether a run of a task has ended done.
+// Finished reports whether a run of a task has ended as RunDone.
 func (p *Pool) Finished(t briarspring.TaskRef) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,14 +196,14 @@
 	return p.failures[t]
 }
 
-// Started reports whether any task of a workflow has begun.
+// Started reports whether any task of a workflow has started.
 func (p *Pool) Started(id briarspring.WorkflowID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.started[id]
 }
 
-// RunsOn reports whether a run of a task is alive on a worker.
+// RunsOn reports whether a worker has a live run of a task.
 func (p *Pool) RunsOn(id string, t briarspring.TaskRef) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,53 +215,53 @@
 	return false
 }
 
-// Starts returns the number of runs that began.
+// Starts returns the number of runs started so far.
 func (p *Pool) Starts() int { return p.Account().Starts }
 
-// Account returns what the workers saw so far.
-func (p *Pool) Account() PoolAccount {
+// Account returns the event counters so far.
+func (p *Pool) Account() PoolCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.account
+	return p.counts
 }
 
-// For returns the workers as a caller reaches them.
+// For returns the named caller's access to the workers.
 func (p *Pool) For(caller string) *PoolClient { return &PoolClient{pool: p, caller: caller} }
 
-// PoolClient is a caller's access to a Pool.
+// PoolClient is one caller's access to a Pool.
 type PoolClient struct {
 	pool   *Pool
 	caller string
 }
 
-func (w *poolWorker) clock() time.Duration { return time.Since(w.began) }
+func (w *poolWorker) clock() time.Duration { return time.Since(w.startedAt) }
 
 // maxLease is the longest lease that a worker grants.
 const maxLease = 6 * time.Second
 
-// renew lengthens the lease, as far as a worker grants it.
-func (w *poolWorker) renew(until time.Duration) {
-	w.until = max(w.until, min(until, w.clock()+maxLease))
+// renewLease extends the lease, to at most maxLease from now.
+func (w *poolWorker) renewLease(until time.Duration) {
+	w.leaseEnd = max(w.leaseEnd, min(until, w.clock()+maxLease))
 }
 
-// lapse ends everything when the lease is over.
-func (p *Pool) lapse(w *poolWorker) {
-	if !w.up || w.until == 0 || w.clock() <= w.until {
+// enforceLease ends all runs if the lease has expired.
+func (p *Pool) enforceLease(w *poolWorker) {
+	if !w.up || w.leaseEnd == 0 || w.clock() <= w.leaseEnd {
 		return
 	}
 	for ref := range w.runs {
-		p.end(w, ref, briarspring.RunLapsed, "")
+		p.endRun(w, ref, briarspring.RunLapsed, "")
 	}
-	w.unheard = w.number
+	w.unackedAtExpiry = w.lastEndNumber
 }
 
-func (p *Pool) end(w *poolWorker, ref briarspring.RunRef, how briarspring.RunEnd, checkpoint string) {
+func (p *Pool) endRun(w *poolWorker, ref briarspring.RunRef, outcome briarspring.RunEnd, checkpoint string) {
 	r := w.runs[ref]
 	delete(w.runs, ref)
-	w.number++
-	w.highest[ref.Task] = max(w.highest[ref.Task], ref.Run)
-	w.ended = append(w.ended, briarspring.EndedTask{Number: w.number, Run: ref, End: how, Checkpoint: checkpoint})
-	switch how {
+	w.lastEndNumber++
+	w.highestRun[ref.Task] = max(w.highestRun[ref.Task], ref.Run)
+	w.ended = append(w.ended, briarspring.EndedTask{Number: w.lastEndNumber, Run: ref, End: outcome, Checkpoint: checkpoint})
+	switch outcome {
 	case briarspring.RunFailed:
 		p.failures[ref.Task]++
 	case briarspring.RunDone:
@@ -266,11 +269,12 @@
 	}
 	close(w.changed)
 	w.changed = make(chan struct{})
-	p.part(ref, r, how)
+	p.endGang(ref, r, outcome)
 }
 
-// reach waits for the way to a worker; the error is a doubt when it is cut.
-func (c *PoolClient) reach(ctx context.Context, id string) (*poolWorker, error) {
+// connect waits for the latency and returns the worker. When the worker is down
+// or cut off, it waits until ctx ends and returns a *DoubtError.
+func (c *PoolClient) connect(ctx context.Context, id string) (*poolWorker, error) {
 	if err := sleeper.For(ctx, c.pool.config.Latency); err != nil {
 		return nil, &briarspring.DoubtError{Call: "order", Cause: err}
 	}
@@ -291,17 +295,18 @@
 	lateOrderSpread = 10 * time.Second
 )
 
-// deliver carries an order out, now or seconds later without an answer.
-func (c *PoolClient) deliver(ctx context.Context, id string, order func(*poolWorker) error) error {
-	w, err := c.reach(ctx, id)
+// sendOrder carries out an order: at once, or, for the share set by LoseOrders,
+// seconds later and without an answer.
+func (c *PoolClient) sendOrder(ctx context.Context, id string, order func(*poolWorker) error) error {
+	w, err := c.connect(ctx, id)
 	if err != nil {
 		return err
 	}
 	p := c.pool
 	p.mu.Lock()
-	late := p.random.Float64() < p.loose
+	late := p.random.Float64() < p.lateShare
 	delay := lateOrderAfter + time.Duration(p.random.Int64N(int64(lateOrderSpread)))
-	life := w.life
+	incarnation := w.incarnation
 	if !late {
 		defer p.mu.Unlock()
 		return order(w)
@@ -311,8 +316,8 @@
 		time.Sleep(delay)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		// What a worker has received is gone with its life.
-		if w.up && w.life == life {
+		// A worker that restarts loses the orders it has received.
+		if w.up && w.incarnation == incarnation {
 			_ = order(w)
 		}
 	}()
@@ -322,8 +327,9 @@
 
 func refused(v briarspring.Verdict) error { return &briarspring.OrderRefusedError{Verdict: v} }
 
-// fenced takes a token; true when the order is of a replaced owner.
-func (w *poolWorker) fenced(token uint64) bool {
+// rejectsToken reports whether an order comes from a replaced owner. Otherwise it
+// stores the token.
+func (w *poolWorker) rejectsToken(token uint64) bool {
 	if token < w.token {
 		return true
 	}
@@ -331,26 +337,27 @@
 	return false
 }
 
-// Hold renews a lease.
+// Hold renews a worker's lease and acknowledges ends. It waits up to h.Wait for a
+// new end and returns what runs and what ended.
 func (c *PoolClient) Hold(ctx context.Context, _, id string, h briarspring.HoldRequest) (briarspring.HoldReply, error) {
-	w, err := c.reach(ctx, id)
+	w, err := c.connect(ctx, id)
 	if err != nil {
 		return briarspring.HoldReply{}, err
 	}
 	p := c.pool
 	p.mu.Lock()
-	life := w.life
-	p.lapse(w)
-	if w.fenced(h.Token) {
+	incarnation := w.incarnation
+	p.enforceLease(w)
+	if w.rejectsToken(h.Token) {
 		p.mu.Unlock()
 		return briarspring.HoldReply{}, refused(briarspring.VerdictSuperseded)
 	}
-	w.renew(h.Until)
+	w.renewLease(h.Until)
 	p.acknowledge(w, h.EndsBefore)
-	waits := len(w.ended) == 0
+	noEnds := len(w.ended) == 0
 	changed := w.changed
 	p.mu.Unlock()
-	if waits && h.Wait > 0 {
+	if noEnds && h.Wait > 0 {
 		timer := time.NewTimer(h.Wait)
 		defer timer.Stop()
 		select {
@@ -360,89 +367,89 @@
 			return briarspring.HoldReply{}, &briarspring.DoubtError{Call: "hold", Cause: ctx.Err()}
 		}
 	}
-	if _, err := c.reach(ctx, id); err != nil {
+	if _, err := c.connect(ctx, id); err != nil {
 		return briarspring.HoldReply{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if w.life != life {
+	if w.incarnation != incarnation {
 		return briarspring.HoldReply{}, &briarspring.DoubtError{Call: "hold", Cause: &LostAnswerError{Part: id}}
 	}
-	p.lapse(w)
-	return p.list(w), nil
+	p.enforceLease(w)
+	return p.leaseReply(w), nil
 }
 
-// acknowledge forgets ends that are stored; those that are done must never run
-// again. An end that nobody had heard of when the lease ended is no proof: the
-// owner may have given the task to others by then.
+// acknowledge drops the ends that the owner has stored. A task that ended as
+// RunDone must never run again, unless the end was still unacknowledged when the
+// lease expired: the owner may have assigned the task to another worker by then.
 func (p *Pool) acknowledge(w *poolWorker, number uint64) {
 	for len(w.ended) > 0 && w.ended[0].Number <= number {
-		if e := w.ended[0]; e.End == briarspring.RunDone && e.Number > w.unheard {
-			p.done[e.Run.Task] = time.Now()
+		if e := w.ended[0]; e.End == briarspring.RunDone && e.Number > w.unackedAtExpiry {
+			p.acknowledgedAt[e.Run.Task] = time.Now()
 		}
 		w.ended = w.ended[1:]
 	}
 }
 
-func (p *Pool) list(w *poolWorker) briarspring.HoldReply {
+func (p *Pool) leaseReply(w *poolWorker) briarspring.HoldReply {
 	reply := briarspring.HoldReply{Born: w.entry.Born, Clock: w.clock(), Ended: slices.Clone(w.ended)}
 	for ref, r := range w.runs {
 		reply.Running = append(reply.Running, briarspring.RunningTask{
-			Run: ref, Checkpoint: r.checkpoint, Percent: r.percent(), Usage: p.usage(w, r),
+			Run: ref, Checkpoint: r.checkpoint, Percent: r.progressPercent(), Usage: p.reportedUsage(w, r),
 		})
 	}
 	return reply
 }
 
-// Start begins a run.
+// Start starts a run.
 func (c *PoolClient) Start(ctx context.Context, _, id string, o briarspring.StartOrder) error {
-	return c.deliver(ctx, id, func(w *poolWorker) error { return c.pool.start(w, o) })
+	return c.sendOrder(ctx, id, func(w *poolWorker) error { return c.pool.startRun(w, o) })
 }
 
-func (p *Pool) start(w *poolWorker, o briarspring.StartOrder) error {
-	p.lapse(w)
+func (p *Pool) startRun(w *poolWorker, o briarspring.StartOrder) error {
+	p.enforceLease(w)
 	switch {
-	case w.fenced(o.Token):
+	case w.rejectsToken(o.Token):
 		return refused(briarspring.VerdictSuperseded)
 	case w.clock() > o.Until:
 		return refused(briarspring.VerdictLate)
 	case w.runs[o.Run] != nil:
 		return nil
-	case o.Run.Run <= w.highest[o.Run.Task]:
+	case o.Run.Run <= w.highestRun[o.Run.Task]:
 		return refused(briarspring.VerdictBarred)
 	}
-	w.renew(o.Until)
-	p.check(w, o.Run)
-	p.account.Starts++
+	w.renewLease(o.Until)
+	p.checkStart(w, o.Run)
+	p.counts.Starts++
 	p.started[o.Run.Task.Workflow] = true
-	work, how := p.config.Plan(o.Run)
+	work, outcome := p.config.Plan(o.Run)
 	_, step := p.config.Spec(o.Run.Task)
 	r := newPoolRun(o.Checkpoint, work, step)
 	w.runs[o.Run] = r
-	life := w.life
+	incarnation := w.incarnation
 	r.finish = func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.lapse(w)
-		if w.runs[o.Run] == r && w.up && w.life == life && r.over() {
-			p.end(w, o.Run, how, "")
+		p.enforceLease(w)
+		if w.runs[o.Run] == r && w.up && w.incarnation == incarnation && r.isDone() {
+			p.endRun(w, o.Run, outcome, "")
 		}
 	}
-	p.join(w, o.Run, r)
+	p.beginWork(w, o.Run, r)
 	return nil
 }
 
-// Stop ends a run, or keeps it from starting.
+// Stop ends a run, or prevents it from starting later.
 func (c *PoolClient) Stop(ctx context.Context, _, id string, o briarspring.StopOrder) error {
-	return c.deliver(ctx, id, func(w *poolWorker) error {
+	return c.sendOrder(ctx, id, func(w *poolWorker) error {
 		p := c.pool
-		p.lapse(w)
-		if w.fenced(o.Token) {
+		p.enforceLease(w)
+		if w.rejectsToken(o.Token) {
 			return refused(briarspring.VerdictSuperseded)
 		}
-		w.highest[o.Run.Task] = max(w.highest[o.Run.Task], o.Run.Run)
+		w.highestRun[o.Run.Task] = max(w.highestRun[o.Run.Task], o.Run.Run)
 		if w.runs[o.Run] != nil {
-			p.end(w, o.Run, briarspring.RunStopped, "stopped")
+			p.endRun(w, o.Run, briarspring.RunStopped, "stopped")
 		}
 		return nil
 	})
@@ -450,13 +457,13 @@
 
 // Pace sets the speed of a run.
 func (c *PoolClient) Pace(ctx context.Context, _, id string, o briarspring.PaceOrder) error {
-	return c.deliver(ctx, id, func(w *poolWorker) error {
-		if w.fenced(o.Token) {
+	return c.sendOrder(ctx, id, func(w *poolWorker) error {
+		if w.rejectsToken(o.Token) {
 			return refused(briarspring.VerdictSuperseded)
 		}
 		if r := w.runs[o.Run]; r != nil {
 			r.setPace(o.Percent)
-			c.pool.account.Paces++
+			c.pool.counts.Paces++
 		}
 		return nil
 	})
--- a/imitator/pool_test.go
+++ b/imitator/pool_test.go
@@ -12,11 +12,12 @@
 	"briarspring"
 )
 
-// runTwice has a task end as done on one worker and start again on another. The
-// end is acknowledged after a pause.
-func runTwice(t *testing.T, pause time.Duration) []string {
+// runTaskTwice runs a task to its end on one worker and starts it again on
+// another. The end is acknowledged after a pause. It returns the violations that
+// the pool recorded.
+func runTaskTwice(t *testing.T, pause time.Duration) []string {
 	t.Helper()
-	var broken []string
+	var violations []string
 	synctest.Test(t, func(t *testing.T) {
 		work := time.Second
 		step := briarspring.Step{Tasks: 1, Resources: briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 1, MemoryMiB: 1})}
@@ -37,16 +38,16 @@
 		require.NoError(t, err)
 		run.Run = 2
 		require.NoError(t, c.Start(ctx, "", "b", briarspring.StartOrder{Run: run, Until: 30 * time.Second, Token: 1}))
-		broken = p.Broken()
+		violations = p.Broken()
 	})
-	return broken
+	return violations
 }
 
 func TestPoolTellsSecondRuns(t *testing.T) {
-	t.Run("after an end that was acknowledged while the lease held", func(t *testing.T) {
-		assert.Len(t, runTwice(t, time.Second), 1)
+	t.Run("after an end that was acknowledged before the lease expired", func(t *testing.T) {
+		assert.Len(t, runTaskTwice(t, time.Second), 1)
 	})
-	t.Run("but not after one that nobody had heard of when the lease ended", func(t *testing.T) {
-		assert.Empty(t, runTwice(t, 4*time.Second))
+	t.Run("but not after one that was unacknowledged when the lease expired", func(t *testing.T) {
+		assert.Empty(t, runTaskTwice(t, 4*time.Second))
 	})
 }
--- a/imitator/profile.go
+++ b/imitator/profile.go
@@ -9,19 +9,19 @@
 // failAfter is how long a failing task runs.
 const failAfter = 50 * time.Millisecond
 
-// profile is how a task behaves, as its command tells a stand-in worker.
+// profile is the simulated behaviour of a task, read from its command.
 type profile struct {
-	time  time.Duration      // Run time of a task or work of one request.
-	fail  bool               // Whether the task fails by itself.
-	use   float64            // Used share of what was declared.
-	vary  float64            // Share of a request's work that varies, exponentially.
-	noise map[string]float64 // Slowdown of executors beside it, by service; "" for any.
+	time      time.Duration      // Run time of a batch task, or work of one request.
+	fail      bool               // Whether the task always fails.
+	usedShare float64            // Fraction of the declared resources that is used.
+	variation float64            // Fraction of a request's work that varies, exponentially distributed.
+	noise     map[string]float64 // Slowdown of executors on the same worker, by service; "" for any.
 }
 
-// parseProfile reads a command such as "time=2s noise=0.1 noise-ledger=0.8";
-// words that it does not know are passed over, as arguments of the program.
+// parseProfile reads a command such as "time=2s noise=0.1 noise-ledger=0.8".
+// Unknown words are ignored, as arguments of the program.
 func parseProfile(command string) profile {
-	p := profile{time: time.Second, use: 1, noise: map[string]float64{}}
+	p := profile{time: time.Second, usedShare: 1, noise: map[string]float64{}}
 	for _, word := range strings.Fields(command) {
 		key, value, _ := strings.Cut(word, "=")
 		service, isNoise := strings.CutPrefix(key, "noise")
@@ -34,11 +34,11 @@
 			p.fail = value == "always"
 		case key == "vary":
 			if f, err := strconv.ParseFloat(value, 64); err == nil {
-				p.vary = f
+				p.variation = f
 			}
 		case key == "use":
 			if f, err := strconv.ParseFloat(value, 64); err == nil {
-				p.use = f
+				p.usedShare = f
 			}
 		case isNoise:
 			if f, err := strconv.ParseFloat(value, 64); err == nil {
--- a/imitator/record.go
+++ b/imitator/record.go
@@ -8,13 +8,13 @@
 	"briarspring"
 )
 
-// Keys of the records that stand for the operators' decisions.
+// Keys of the records in the directory stream.
 const (
 	keyDirectory = "directory"
 	prefixOut    = "out/"
 )
 
-// directoryRecord is the form in which stand-ins keep the queues.
+// directoryRecord is the stored form of the queues.
 type directoryRecord struct {
 	Version uint64        `json:"version"`
 	Queues  []queueRecord `json:"queues"`
@@ -31,7 +31,7 @@
 	AllowanceMs int64   `json:"allowance-ms"`
 }
 
-// workerRecord is the form in which stand-ins keep a worker's entry.
+// workerRecord is the stored form of a worker's entry.
 type workerRecord struct {
 	Service      string   `json:"service"`
 	Address      string   `json:"address"`
@@ -45,7 +45,7 @@
 	Born         int64    `json:"born"`
 }
 
-// DirectoryRecord returns the record that puts queues in force.
+// DirectoryRecord encodes a directory of queues as a record.
 func DirectoryRecord(d briarspring.Directory) (briarspring.KeyedRecord, error) {
 	m := directoryRecord{Version: d.Version}
 	for _, q := range d.Queues {
@@ -58,8 +58,8 @@
 	return briarspring.KeyedRecord{Key: keyDirectory, Value: value}, err
 }
 
-// OutRecord returns the record that takes a data centre out of service, or the
-// one that brings it back.
+// OutRecord returns the record that takes a data centre out of service or, if out
+// is false, returns it to service.
 func OutRecord(dataCentre string, out bool) briarspring.KeyedRecord {
 	r := briarspring.KeyedRecord{Key: prefixOut + dataCentre}
 	if out {
@@ -68,7 +68,7 @@
 	return r
 }
 
-// WorkerRecord returns the record of a worker's entry.
+// WorkerRecord encodes a worker's entry as a record.
 func WorkerRecord(e briarspring.WorkerEntry) (briarspring.KeyedRecord, error) {
 	value, err := json.Marshal(workerRecord{
 		Service: e.Service, Address: e.Address, DataCentre: e.DataCentre, Rack: e.Rack, Labels: e.Labels,
@@ -78,10 +78,10 @@
 	return briarspring.KeyedRecord{Key: e.ID, Value: value}, err
 }
 
-// Decoder reads the records that the stand-ins keep.
+// Decoder decodes the records of the stand-ins.
 type Decoder struct{}
 
-// Directory returns the queues of a record; false for other records.
+// Directory decodes a directory of queues. It returns false for other records.
 func (Decoder) Directory(r briarspring.KeyedRecord) (briarspring.Directory, bool, error) {
 	if r.Key != keyDirectory || len(r.Value) == 0 {
 		return briarspring.Directory{}, false, nil
@@ -100,10 +100,11 @@
 	return d, true, nil
 }
 
-// OutOfService returns the data centre that a record takes out of service.
+// OutOfService returns the data centre whose state a record with this key holds.
+// It returns false for other keys.
 func (Decoder) OutOfService(key string) (string, bool) { return strings.CutPrefix(key, prefixOut) }
 
-// Worker returns a worker's entry.
+// Worker decodes a worker's entry.
 func (Decoder) Worker(r briarspring.KeyedRecord) (briarspring.WorkerEntry, error) {
 	var m workerRecord
 	if err := json.Unmarshal(r.Value, &m); err != nil {
--- a/imitator/truth.go
+++ b/imitator/truth.go
@@ -2,24 +2,25 @@
 
 import "briarspring"
 
-// Truth is what really happens on a worker, which no scheduler is told.
-type Truth struct {
-	Capacity  int64     // Thousandths of a core.
-	Executors int64     // Thousandths of a core that executors hold.
-	Batch     int64     // Thousandths of a core that batch tasks work with.
-	Slowdowns []float64 // Of each running executor; one is undisturbed.
+// GroundTruth is the actual load of a worker, which is not reported to
+// schedulers.
+type GroundTruth struct {
+	Capacity  int64     // In thousandths of a core.
+	Executors int64     // CPU that running executors reserve, in thousandths of a core.
+	Batch     int64     // CPU that running batch tasks use, in thousandths of a core.
+	Slowdowns []float64 // Of each running executor; 1 means no interference.
 }
 
-// Truth returns what really happens on the worker now.
-func (w *Worker) Truth() Truth {
+// GroundTruth returns the actual load of the worker.
+func (w *Worker) GroundTruth() GroundTruth {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
-		return Truth{}
+		return GroundTruth{}
 	}
-	w.checkLease()
-	t := Truth{Capacity: w.config.Capacity.MilliCPU()}
-	for _, key := range w.keys() {
+	w.enforceLease()
+	t := GroundTruth{Capacity: w.config.Capacity.MilliCPU()}
+	for _, key := range w.sortedAttempts() {
 		task := w.tasks[key]
 		if task.phase != briarspring.TaskRunning {
 			continue
--- a/imitator/worker.go
+++ b/imitator/worker.go
@@ -11,22 +11,23 @@
 	"briarspring"
 )
 
-// slowdownSteps in one is the precision of slowdowns: profiles give shares with
-// at most four decimals, throttles whole percent.
-const slowdownSteps = 1e6
+// slowdownPrecision is the number of steps per 1.0 to which slowdowns are
+// rounded: profiles give shares with at most four decimals and throttles are
+// whole percents, so that products have at most six decimals.
+const slowdownPrecision = 1e6
 
 // WorkerConfig holds the settings of a Worker.
 type WorkerConfig struct {
 	Name           string
 	Rack           string
 	Capacity       briarspring.Resources
-	Incarnation    uint64        // Grows with every restart.
+	Incarnation    uint64        // Increases with every restart.
 	ClockOffset    time.Duration // Reading of the worker's clock at its start.
-	CheckpointTime time.Duration // That stopping a task takes.
-	ReportInterval time.Duration // Between measurements.
-	ReportLag      time.Duration // Until a measurement is reported.
+	CheckpointTime time.Duration // Time that it takes to stop a task.
+	ReportInterval time.Duration // Time between measurements.
+	ReportLag      time.Duration // Time until a measurement is reported.
 	Serve          bool          // Whether executors open real HTTP servers.
-	Address        string        // IP number that executors listen on.
+	Address        string        // IP address that executors listen on.
 	Journal        *Journal
 }
 
@@ -35,47 +36,47 @@
 	config WorkerConfig
 	start  time.Time
 
-	mu      sync.Mutex
-	epoch   uint64
-	lease   time.Duration
-	lapse   *time.Timer
-	tasks   map[briarspring.AttemptID]*workerTask
-	latest  map[briarspring.TaskID]uint32
-	usage   []briarspring.Usage
-	sampler *time.Timer
-	failing bool
-	closed  bool
-	version uint64
-	grown   chan struct{} // Closed when the version grows.
-
-	leaseEnded bool
+	mu            sync.Mutex
+	epoch         uint64
+	leaseEnd      time.Duration
+	leaseTimer    *time.Timer
+	tasks         map[briarspring.AttemptID]*workerTask
+	latestAttempt map[briarspring.TaskID]uint32
+	usage         []briarspring.Usage
+	sampler       *time.Timer
+	failing       bool
+	closed        bool
+	version       uint64
+	updated       chan struct{} // Closed when the version increases.
+
+	leaseEndRecorded bool
 }
 
 type workerTask struct {
-	start    briarspring.StartTask
-	profile  profile
-	phase    briarspring.TaskPhase
-	done     time.Duration // Work done before the task was last resumed.
-	resumed  time.Time
-	speed    float64
-	throttle float64
-	timer    *time.Timer
-	executor *executor
-	ckpt     uint64
-	version  uint64 // Of the worker when the task last changed.
+	start           briarspring.StartTask
+	profile         profile
+	phase           briarspring.TaskPhase
+	workDone        time.Duration // Work done until the task was last resumed.
+	resumedAt       time.Time
+	speed           float64
+	throttle        float64
+	timer           *time.Timer
+	executor        *executor
+	savedCheckpoint uint64
+	version         uint64 // Version of the worker when the task last changed.
 }
 
 // NewWorker returns a running worker without tasks.
 func NewWorker(c WorkerConfig) *Worker {
 	w := &Worker{
-		config: c,
-		start:  time.Now().Add(-c.ClockOffset),
-		tasks:  map[briarspring.AttemptID]*workerTask{},
-		latest: map[briarspring.TaskID]uint32{},
-		grown:  make(chan struct{}),
+		config:        c,
+		start:         time.Now().Add(-c.ClockOffset),
+		tasks:         map[briarspring.AttemptID]*workerTask{},
+		latestAttempt: map[briarspring.TaskID]uint32{},
+		updated:       make(chan struct{}),
 	}
 	if c.ReportInterval > 0 {
-		w.sampler = time.AfterFunc(c.ReportInterval, w.sample)
+		w.sampler = time.AfterFunc(c.ReportInterval, w.sampleUsage)
 	}
 	return w
 }
@@ -85,16 +86,17 @@
 
 func (w *Worker) clock() time.Duration { return time.Since(w.start) }
 
-// SetFailing makes every task that starts from now on fail.
+// SetFailing sets whether batch tasks that start or resume from now on fail.
 func (w *Worker) SetFailing(failing bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failing = failing
 }
 
-// Exchange takes commands and reports, waiting for a change if it is asked to.
+// Exchange applies commands and returns a report. It waits up to e.Wait for a
+// change that the caller has not seen.
 func (w *Worker) Exchange(ctx context.Context, e briarspring.Exchange) briarspring.WorkerReport {
-	changed := w.take(e)
+	changed := w.applyExchange(e)
 	t := time.NewTimer(e.Wait)
 	defer t.Stop()
 	select {
@@ -104,79 +106,80 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.checkLease()
+	w.enforceLease()
 	if e.Epoch < w.epoch || w.closed {
 		return briarspring.WorkerReport{Clock: w.clock(), Incarnation: w.config.Incarnation, Epoch: w.epoch}
 	}
 	return w.report(e.Seen == 0 || e.Incarnation != w.config.Incarnation, e.Seen)
 }
 
-// take takes the commands. The channel is closed when there is something new
-// to report.
-func (w *Worker) take(e briarspring.Exchange) <-chan struct{} {
+// applyExchange applies the commands. The channel is closed when there is
+// something new to report.
+func (w *Worker) applyExchange(e briarspring.Exchange) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := make(chan struct{})
-	close(now)
-	w.checkLease()
+	ready := make(chan struct{})
+	close(ready)
+	w.enforceLease()
 	if e.Epoch < w.epoch || w.closed {
-		return now
+		return ready
 	}
 	if e.Epoch > w.epoch {
 		w.epoch = e.Epoch
-		w.changed(nil)
+		w.markChanged(nil)
 	}
 	if e.Incarnation == w.config.Incarnation {
-		w.obey(e)
+		w.applyCommands(e)
 	}
 	if w.version != e.Seen {
-		return now
+		return ready
 	}
-	return w.grown
+	return w.updated
 }
 
-// changed tells everyone who waits that there is something new to report, of a
-// task or, when it is nil, of the worker.
-func (w *Worker) changed(t *workerTask) {
+// markChanged increases the version and wakes up waiting exchanges, after a change
+// of a task or, if t is nil, of the worker.
+func (w *Worker) markChanged(t *workerTask) {
 	w.version++
 	if t != nil {
 		t.version = w.version
 	}
-	close(w.grown)
-	w.grown = make(chan struct{})
+	close(w.updated)
+	w.updated = make(chan struct{})
 }
 
-func (w *Worker) obey(e briarspring.Exchange) {
-	if e.LeaseUntil > w.lease {
-		w.lease = e.LeaseUntil
-		w.leaseEnded = false
-		w.armLapse()
+func (w *Worker) applyCommands(e briarspring.Exchange) {
+	if e.LeaseUntil > w.leaseEnd {
+		w.leaseEnd = e.LeaseUntil
+		w.leaseEndRecorded = false
+		w.armLeaseTimer()
 	}
 	for _, key := range e.Forget {
-		w.forget(key)
+		w.forgetTask(key)
 	}
 	for _, key := range e.Stops {
-		w.stop(key)
+		w.stopTask(key)
 	}
 	for _, s := range e.Starts {
 		w.startTask(s)
 	}
 	for _, t := range e.Throttles {
-		w.throttle(t)
+		w.throttleTask(t)
 	}
 }
 
-// report lists all tasks, or those that changed after a version.
+// report returns all tasks if whole is set, otherwise those that changed after
+// version seen. It removes the measurements that it reports.
 func (w *Worker) report(whole bool, seen uint64) briarspring.WorkerReport {
 	r := briarspring.WorkerReport{
-		Clock: w.clock(), Incarnation: w.config.Incarnation, Epoch: w.epoch, LeaseUntil: w.lease,
+		Clock: w.clock(), Incarnation: w.config.Incarnation, Epoch: w.epoch, LeaseUntil: w.leaseEnd,
 		Rack: w.config.Rack, Capacity: w.config.Capacity, Version: w.version, Whole: whole,
 	}
 	for key, t := range w.tasks {
 		if !whole && t.version <= seen {
 			continue
 		}
-		report := briarspring.TaskReport{Attempt: key, Phase: t.phase, Checkpoint: t.ckpt}
+		report := briarspring.TaskReport{Attempt: key, Phase: t.phase, Checkpoint: t.savedCheckpoint}
 		if t.executor != nil && t.phase == briarspring.TaskRunning {
 			report.Address = t.executor.address
 		}
@@ -204,27 +207,26 @@
 	)
 }
 
-// armLapse sets the timer that ends all tasks when the lease ends.
-func (w *Worker) armLapse() {
-	if w.lapse != nil {
-		w.lapse.Stop()
+// armLeaseTimer sets the timer that ends all tasks when the lease expires.
+func (w *Worker) armLeaseTimer() {
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
-	w.lapse = time.AfterFunc(w.lease-w.clock(), func() {
+	w.leaseTimer = time.AfterFunc(w.leaseEnd-w.clock(), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.checkLease()
+		w.enforceLease()
 	})
 }
 
-// checkLease ends every running task when the lease has ended. It stands
-// before anything else that looks at tasks, since the worker may have been
-// paused.
-func (w *Worker) checkLease() {
-	if w.clock() < w.lease {
+// enforceLease ends every live task if the lease has expired. It is called before
+// anything else that reads tasks, since a paused process may miss the timer.
+func (w *Worker) enforceLease() {
+	if w.clock() < w.leaseEnd {
 		return
 	}
-	w.noteLeaseEnd()
-	for _, key := range w.keys() {
+	w.recordLeaseEnd()
+	for _, key := range w.sortedAttempts() {
 		t := w.tasks[key]
 		if !t.phase.Ended() {
 			w.finish(t, briarspring.TaskLapsed)
@@ -232,44 +234,44 @@
 	}
 }
 
-// noteLeaseEnd writes down, once, that the lease has ended.
-func (w *Worker) noteLeaseEnd() {
-	if w.leaseEnded || w.config.Journal == nil {
+// recordLeaseEnd adds the end of the lease to the journal, once per lease.
+func (w *Worker) recordLeaseEnd() {
+	if w.leaseEndRecorded || w.config.Journal == nil {
 		return
 	}
-	w.leaseEnded = true
+	w.leaseEndRecorded = true
 	w.config.Journal.add(JournalEntry{Time: time.Now(), Worker: w.config.Name, Kind: JournalLeaseEnd})
 }
 
-func (w *Worker) keys() []briarspring.AttemptID {
-	keys := make([]briarspring.AttemptID, 0, len(w.tasks))
+func (w *Worker) sortedAttempts() []briarspring.AttemptID {
+	attempts := make([]briarspring.AttemptID, 0, len(w.tasks))
 	for key := range w.tasks {
-		keys = append(keys, key)
+		attempts = append(attempts, key)
 	}
-	slices.SortFunc(keys, compareAttempts)
-	return keys
+	slices.SortFunc(attempts, compareAttempts)
+	return attempts
 }
 
 func (w *Worker) startTask(s briarspring.StartTask) {
-	if w.latest[s.Attempt.Task] >= s.Attempt.Attempt {
+	if w.latestAttempt[s.Attempt.Task] >= s.Attempt.Attempt {
 		return
 	}
-	w.latest[s.Attempt.Task] = s.Attempt.Attempt
+	w.latestAttempt[s.Attempt.Task] = s.Attempt.Attempt
 	t := &workerTask{start: s, profile: parseProfile(s.Command), throttle: 1}
 	w.tasks[s.Attempt] = t
-	defer w.changed(t)
-	if w.clock() > s.NotAfter || w.clock() >= w.lease {
+	defer w.markChanged(t)
+	if w.clock() > s.NotAfter || w.clock() >= w.leaseEnd {
 		t.phase = briarspring.TaskNotStarted
 		return
 	}
 	t.phase = briarspring.TaskRunning
-	t.done = time.Duration(s.Checkpoint) * time.Millisecond
-	w.note(JournalStart, t)
+	t.workDone = time.Duration(s.Checkpoint) * time.Millisecond
+	w.record(JournalStart, t)
 	if s.Service {
 		w.startExecutor(t)
 	}
 	w.resume(t)
-	w.disturb()
+	w.updateSlowdowns()
 }
 
 func (w *Worker) startExecutor(t *workerTask) {
@@ -284,23 +286,23 @@
 	t.executor = x
 }
 
-// resume arms the timer of a batch task's end at its present speed.
+// resume sets the timer that ends a batch task, according to its present speed.
 func (w *Worker) resume(t *workerTask) {
 	if t.start.Service || t.phase != briarspring.TaskRunning {
 		return
 	}
-	t.resumed = time.Now()
+	t.resumedAt = time.Now()
 	t.speed = t.throttle
 	failed := w.failing || t.profile.fail
 	work := t.profile.time
 	if failed {
-		work = min(work, t.done+failAfter)
+		work = min(work, t.workDone+failAfter)
 	}
-	left := max(0, work-t.done)
-	t.timer = time.AfterFunc(time.Duration(float64(left)/t.speed), func() {
+	remaining := max(0, work-t.workDone)
+	t.timer = time.AfterFunc(time.Duration(float64(remaining)/t.speed), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.checkLease()
+		w.enforceLease()
 		if t.phase != briarspring.TaskRunning {
 			return
 		}
@@ -312,39 +314,39 @@
 	})
 }
 
-// pause stops the timer of a batch task and counts the work done so far.
+// pause stops the timer of a batch task and adds up the work done so far.
 func (t *workerTask) pause() {
 	if t.timer == nil {
 		return
 	}
 	t.timer.Stop()
-	t.done += time.Duration(float64(time.Since(t.resumed)) * t.speed)
+	t.workDone += time.Duration(float64(time.Since(t.resumedAt)) * t.speed)
 	t.timer = nil
 }
 
-// finish ends an attempt for good.
+// finish ends an attempt with its final phase.
 func (w *Worker) finish(t *workerTask, phase briarspring.TaskPhase) {
 	t.pause()
 	t.phase = phase
 	if t.executor != nil {
 		t.executor.close(phase == briarspring.TaskCheckpointed)
 	}
-	w.note(journalKinds[phase], t)
-	w.changed(t)
-	w.disturb()
+	w.record(journalKindByPhase[phase], t)
+	w.markChanged(t)
+	w.updateSlowdowns()
 }
 
-func (w *Worker) stop(key briarspring.AttemptID) {
+func (w *Worker) stopTask(key briarspring.AttemptID) {
 	t := w.tasks[key]
 	if t == nil {
-		if w.latest[key.Task] < key.Attempt {
-			// A start that still is on its way must not run.
-			w.latest[key.Task] = key.Attempt
+		if w.latestAttempt[key.Task] < key.Attempt {
+			// A start that arrives after this stop must not run.
+			w.latestAttempt[key.Task] = key.Attempt
 			t = &workerTask{
 				start: briarspring.StartTask{Attempt: key}, phase: briarspring.TaskNotStarted,
 			}
 			w.tasks[key] = t
-			w.changed(t)
+			w.markChanged(t)
 		}
 		return
 	}
@@ -353,15 +355,15 @@
 	}
 	t.pause()
 	t.phase = briarspring.TaskStopping
-	w.changed(t)
+	w.markChanged(t)
 	stopped := func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.checkLease()
+		w.enforceLease()
 		if t.phase != briarspring.TaskStopping {
 			return
 		}
-		t.ckpt = uint64(t.done.Milliseconds())
+		t.savedCheckpoint = uint64(t.workDone.Milliseconds())
 		w.finish(t, briarspring.TaskCheckpointed)
 	}
 	if t.executor != nil {
@@ -374,7 +376,7 @@
 	time.AfterFunc(w.config.CheckpointTime, stopped)
 }
 
-func (w *Worker) forget(key briarspring.AttemptID) {
+func (w *Worker) forgetTask(key briarspring.AttemptID) {
 	t := w.tasks[key]
 	if t == nil || !t.phase.Ended() {
 		return
@@ -382,7 +384,7 @@
 	delete(w.tasks, key)
 }
 
-func (w *Worker) throttle(c briarspring.Throttle) {
+func (w *Worker) throttleTask(c briarspring.Throttle) {
 	t := w.tasks[c.Attempt]
 	if t == nil || t.phase != briarspring.TaskRunning {
 		return
@@ -390,12 +392,12 @@
 	t.pause()
 	t.throttle = max(0.01, float64(c.Percent)/100)
 	w.resume(t)
-	w.disturb()
+	w.updateSlowdowns()
 }
 
-// disturb sets how much slower each executor answers beside the batch tasks
-// that run now.
-func (w *Worker) disturb() {
+// updateSlowdowns sets the slowdown that the running batch tasks cause to each
+// executor.
+func (w *Worker) updateSlowdowns() {
 	for _, t := range w.tasks {
 		if t.executor != nil {
 			t.executor.setSlowdown(w.slowdown(t))
@@ -414,34 +416,34 @@
 	return sumSlowdown(shares)
 }
 
-// sumSlowdown adds the shares by which tasks slow an executor. The shares are
-// decimal fractions; rounding the sum takes off their binary representation
-// error, which depends on the order of the tasks.
+// sumSlowdown returns 1 plus the shares by which tasks slow an executor. The
+// shares are decimal fractions; rounding the sum removes their binary
+// representation error, which depends on the order of the tasks.
 func sumSlowdown(shares []float64) float64 {
 	sum := 1.0
 	for _, s := range shares {
 		sum += s
 	}
-	return math.Round(sum*slowdownSteps) / slowdownSteps
+	return math.Round(sum*slowdownPrecision) / slowdownPrecision
 }
 
-// sample takes a measurement of each running attempt.
-func (w *Worker) sample() {
+// sampleUsage records the usage of each running attempt.
+func (w *Worker) sampleUsage() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return
 	}
-	w.checkLease()
-	for _, key := range w.keys() {
+	w.enforceLease()
+	for _, key := range w.sortedAttempts() {
 		t := w.tasks[key]
 		if t.phase != briarspring.TaskRunning {
 			continue
 		}
 		u := briarspring.Usage{
 			Attempt: key, Taken: w.clock(),
-			MilliCPU:  int64(float64(t.start.Resources.MilliCPU()) * t.profile.use * t.throttle),
-			MemoryMiB: int64(float64(t.start.Resources.MemoryMiB()) * t.profile.use),
+			MilliCPU:  int64(float64(t.start.Resources.MilliCPU()) * t.profile.usedShare * t.throttle),
+			MemoryMiB: int64(float64(t.start.Resources.MemoryMiB()) * t.profile.usedShare),
 		}
 		if t.executor != nil {
 			u.P99, u.Requests = t.executor.measure()
@@ -454,19 +456,20 @@
 	w.sampler.Reset(w.config.ReportInterval)
 }
 
-// Close ends the worker at once, as a dying host does.
+// Close stops the worker at once and ends its tasks, as the death of its host
+// would.
 func (w *Worker) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = true
-	w.noteLeaseEnd()
-	if w.lapse != nil {
-		w.lapse.Stop()
+	w.recordLeaseEnd()
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
 	if w.sampler != nil {
 		w.sampler.Stop()
 	}
-	for _, key := range w.keys() {
+	for _, key := range w.sortedAttempts() {
 		t := w.tasks[key]
 		if !t.phase.Ended() {
 			w.finish(t, briarspring.TaskLapsed)
@@ -474,13 +477,13 @@
 	}
 }
 
-func (w *Worker) note(kind JournalKind, t *workerTask) {
+func (w *Worker) record(kind JournalKind, t *workerTask) {
 	if w.config.Journal == nil {
 		return
 	}
 	w.config.Journal.add(JournalEntry{
 		Time: time.Now(), Worker: w.config.Name, Kind: kind, Attempt: t.start.Attempt,
 		Name: t.start.Name, Resources: t.start.Resources, Capacity: w.config.Capacity,
-		Checkpoint: t.start.Checkpoint, Saved: t.ckpt, Work: t.done,
+		Checkpoint: t.start.Checkpoint, Saved: t.savedCheckpoint, Work: t.workDone,
 	})
 }
--- a/replayer/measure.go
+++ b/replayer/measure.go
@@ -69,7 +69,7 @@
 
 // take adds one sample that stands for a time. Data centres that are out are
 // not counted as capacity; what still runs there is counted as work.
-func (s *sampler) take(t imitator.Truth, counted bool, d time.Duration) {
+func (s *sampler) take(t imitator.GroundTruth, counted bool, d time.Duration) {
 	s.slowdowns = append(s.slowdowns, t.Slowdowns...)
 	ms := float64(d.Milliseconds()) / briarspring.MilliCPUPerCore
 	s.batch += float64(t.Batch) * ms
--- a/replayer/replayer.go
+++ b/replayer/replayer.go
@@ -181,7 +181,7 @@
 			f := r.fleets[d.Name]
 			for _, name := range f.Names() {
 				if w := f.Worker(name); w != nil {
-					r.sampler.take(w.Truth(), !out[d.Name], sampleInterval)
+					r.sampler.take(w.GroundTruth(), !out[d.Name], sampleInterval)
 				}
 			}
 		}
