--- a/generator/generator.go
+++ b/generator/generator.go
@@ -1,6 +1,6 @@
-// Package generator makes open-loop load: requests arrive when they are due,
-// whether or not earlier ones were answered, and latency counts from the time
-// that a request was due.
+// Package generator generates open-loop load: requests are sent when they are
+// due, whether or not earlier ones were answered, and latency is measured from
+// the time at which a request was due.
 package generator
 
 import (
@@ -21,36 +21,37 @@
 	"briarspring"
 )
 
-// Arm is one way that requests take. Arms of one run share its arrivals in
-// turn, so that they meet the same conditions.
+// Arm is one of several paths that a run compares. Requests go to the arms in
+// turn, so that all arms see the same conditions.
 type Arm struct {
 	Name      string
-	Addresses []string // "IP:port", used in turn.
+	Addresses []string // "IP:port"; used in turn.
 }
 
 // Config holds the settings of a run.
 type Config struct {
 	Arms       []Arm
-	Rate       float64 // Arrivals a second of each arm.
+	Rate       float64 // Requests per second and arm.
 	Duration   time.Duration
 	Path       string
 	Timeout    time.Duration
 	Idempotent bool
 	Body       string
-	Prefix     string // Of request ids.
-	// Healthy tells whether a balancer would send to an address; nil sends to all.
+	Prefix     string // Prefix of request ids.
+	// Healthy reports whether a load balancer would send requests to an address. If
+	// it is nil, all addresses are used.
 	Healthy func(address string) bool
 	Seed    uint64
 }
 
-// Result is what became of an arm's requests.
+// Result holds the outcomes and latencies of an arm's requests.
 type Result struct {
 	Name    string
 	Sent    uint64
 	Served  uint64
 	NotRun  uint64
-	Unknown uint64 // Outcome unknown, or the connection broke.
-	Wrong   uint64 // Answers to another request, or not whole.
+	Unknown uint64 // The outcome is unknown, or the connection failed.
+	Wrong   uint64 // Answers to another request, or truncated.
 	IDs     map[string]briarspring.Outcome
 
 	mu        sync.Mutex
@@ -58,25 +59,25 @@
 }
 
 const (
-	maxLatency    = time.Minute
-	significant   = 3
-	idleConns     = 4096
-	clientTimeout = 30 * time.Second
+	maxLatency        = time.Minute
+	significantDigits = 3
+	idleConns         = 4096
+	clientTimeout     = 30 * time.Second
 )
 
-// Quantile returns the latency that a share of served requests, in percent,
-// stayed below.
+// Quantile returns a percentile of the latency of served requests.
 func (r *Result) Quantile(percent float64) time.Duration {
 	return time.Duration(r.latencies.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Run makes load until the duration is over and every request has ended.
+// Run sends requests until the duration has passed or ctx ends, and returns when
+// every request has ended.
 func Run(ctx context.Context, c Config) []*Result {
 	results := make([]*Result, len(c.Arms))
 	for i, arm := range c.Arms {
 		results[i] = &Result{
 			Name: arm.Name, IDs: map[string]briarspring.Outcome{},
-			latencies: hdrhistogram.New(1, maxLatency.Microseconds(), significant),
+			latencies: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 		}
 	}
 	client := &http.Client{
@@ -84,28 +85,29 @@
 		Timeout:   clientTimeout,
 	}
 	defer client.CloseIdleConnections()
-	var open sync.WaitGroup
+	var inFlight sync.WaitGroup
 	random := rand.New(rand.NewPCG(c.Seed, 2))
-	begin := time.Now()
-	due := begin
+	start := time.Now()
+	due := start
 	for n := 0; ; n++ {
 		due = due.Add(time.Duration(random.ExpFloat64() / (c.Rate * float64(len(c.Arms))) * float64(time.Second)))
-		if due.Sub(begin) >= c.Duration || ctx.Err() != nil {
+		if due.Sub(start) >= c.Duration || ctx.Err() != nil {
 			break
 		}
 		time.Sleep(time.Until(due))
 		arm := n % len(c.Arms)
-		address := c.pick(c.Arms[arm].Addresses, n/len(c.Arms))
+		address := c.pickAddress(c.Arms[arm].Addresses, n/len(c.Arms))
 		id := fmt.Sprintf("%s-%s-%d", c.Prefix, c.Arms[arm].Name, n)
-		at := due
-		open.Go(func() { one(ctx, client, c, address, id, at, results[arm]) })
+		dueAt := due
+		inFlight.Go(func() { sendRequest(ctx, client, c, address, id, dueAt, results[arm]) })
 	}
-	open.Wait()
+	inFlight.Wait()
 	return results
 }
 
-// pick returns the next address in turn that is healthy, or any when none is.
-func (c Config) pick(addresses []string, turn int) string {
+// pickAddress returns the next healthy address in turn. If none is healthy, it
+// returns the next address.
+func (c Config) pickAddress(addresses []string, turn int) string {
 	for i := range addresses {
 		a := addresses[(turn+i)%len(addresses)]
 		if c.Healthy == nil || c.Healthy(a) {
@@ -115,9 +117,9 @@
 	return addresses[turn%len(addresses)]
 }
 
-// one makes one request and notes what became of it.
-func one(ctx context.Context, client *http.Client, c Config, address, id string, due time.Time, r *Result) {
-	outcome, wrong := ask(ctx, client, c, address, id)
+// sendRequest sends a request and records its result.
+func sendRequest(ctx context.Context, client *http.Client, c Config, address, id string, due time.Time, r *Result) {
+	outcome, wrong := call(ctx, client, c, address, id)
 	took := time.Since(due)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,8 +138,8 @@
 	}
 }
 
-// ask sends a request and checks the answer.
-func ask(ctx context.Context, client *http.Client, c Config, address, id string) (outcome briarspring.Outcome, wrong bool) {
+// call sends a request. It returns its outcome and whether the answer is wrong.
+func call(ctx context.Context, client *http.Client, c Config, address, id string) (outcome briarspring.Outcome, wrong bool) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+c.Path, strings.NewReader(c.Body+id))
 	if err != nil {
 		return briarspring.OutcomeUnknown, false
@@ -153,7 +155,7 @@
 	body, err := io.ReadAll(answer.Body)
 	outcome = briarspring.Outcome(answer.Header.Get(briarspring.HeaderOutcome))
 	if outcome == "" && answer.StatusCode == http.StatusOK {
-		outcome = briarspring.OutcomeServed // A direct call to an executor.
+		outcome = briarspring.OutcomeServed // Direct calls to an executor carry no outcome.
 	}
 	if err != nil {
 		return briarspring.OutcomeUnknown, false
@@ -161,11 +163,12 @@
 	if outcome != briarspring.OutcomeServed {
 		return outcome, false
 	}
-	return outcome, !belongs(string(body), id, c)
+	return outcome, !answersRequest(string(body), id, c)
 }
 
-// belongs reports whether an answer is whole and to the request of this id.
-func belongs(answer, id string, c Config) bool {
+// answersRequest reports whether an answer is complete and belongs to the request
+// with this id.
+func answersRequest(answer, id string, c Config) bool {
 	digest := fnv.New64a()
 	io.WriteString(digest, c.Body+id) //nolint:errcheck // Never fails.
 	path, _, _ := strings.Cut(c.Path, "?")
@@ -173,18 +176,18 @@
 	return strings.Contains(answer, want)
 }
 
-// Doubled returns the ids that executors ran more often than the callers' side
-// allows: non-idempotent requests more than once, requests that were answered
-// not-run at all.
+// Doubled returns the ids of requests that executors ran more often than their
+// outcome allows: non-idempotent requests that ran more than once, and requests
+// that ran although they were answered not-run.
 func Doubled(results []*Result, runs map[string]uint32, idempotent bool) []string {
 	var out []string
 	for _, r := range results {
 		for id, outcome := range r.IDs {
-			most := uint32(1)
+			allowed := uint32(1)
 			if outcome == briarspring.OutcomeNotRun {
-				most = 0
+				allowed = 0
 			}
-			if runs[id] > most && (!idempotent || most == 0) {
+			if runs[id] > allowed && (!idempotent || allowed == 0) {
 				out = append(out, id)
 			}
 		}
--- a/replayer/measure.go
+++ b/replayer/measure.go
@@ -9,28 +9,29 @@
 	"briarspring/imitator"
 )
 
-// Measures are what a replay measured.
+// Measures are the results of a replay.
 type Measures struct {
-	UrgentRatio    float64 // 99th percentile of executors' answer times to those alone.
+	UrgentRatio    float64 // 99th percentile of executors' latency, relative to that without interference.
 	UrgentWorst    float64 // The highest such ratio.
-	BatchShare     float64 // Batch work to the processors that executors left, while measuring.
-	LostShare      float64 // Batch work that was lost to the work done.
+	BatchShare     float64 // Batch work per CPU time that executors left, while measuring.
+	LostShare      float64 // Fraction of batch work that was lost.
 	Evictions      float64
-	Doubled        float64 // Tasks that ran in two places, or again after their end was known.
+	Doubled        float64 // Starts of tasks that were running elsewhere or known to be finished.
 	Overcommitted  float64 // Starts that overcommitted a worker.
-	Unfinished     float64 // Tasks of jobs that should have finished and have not.
-	LateStarts     float64 // Starts in a data centre that was out for more than 3 s.
-	StartsAfterCut float64 // Starts of cancelled jobs more than 3 s after.
+	Unfinished     float64 // Unfinished tasks of jobs that should have finished.
+	LateStarts     float64 // Starts in a data centre more than 3 s after it was taken out.
+	StartsAfterCut float64 // Starts of tasks more than 3 s after their job was cancelled.
 }
 
-// names are the measures that outcomes can bound.
-var names = []string{
+// measureNames are the names by which a trace's outcomes refer to measures, in
+// the order of Get.
+var measureNames = []string{
 	"urgent-p99-ratio", "urgent-worst-ratio", "batch-share", "lost-share", "evictions",
 	"doubled", "overcommitted", "unfinished", "late-starts", "starts-after-cancel",
 }
 
 // Names returns the names of all measures.
-func Names() []string { return names }
+func Names() []string { return measureNames }
 
 // Get returns a measure by name.
 func (m Measures) Get(name string) (float64, bool) {
@@ -38,14 +39,14 @@
 		m.UrgentRatio, m.UrgentWorst, m.BatchShare, m.LostShare, m.Evictions,
 		m.Doubled, m.Overcommitted, m.Unfinished, m.LateStarts, m.StartsAfterCut,
 	}
-	i := slices.Index(names, name)
+	i := slices.Index(measureNames, name)
 	if i < 0 {
 		return 0, false
 	}
 	return values[i], true
 }
 
-// Missed returns the outcomes of a trace that the measures do not meet.
+// Missed describes the outcomes of a trace that the measures do not meet.
 func (t Trace) Missed(m Measures) []string {
 	var out []string
 	for _, o := range t.Outcomes {
@@ -60,77 +61,78 @@
 	return out
 }
 
-// sampler adds up what really happens on the workers.
-type sampler struct {
-	slowdowns []float64
-	batch     float64 // Core-milliseconds.
-	left      float64 // Core-milliseconds that executors left.
+// loadSampler adds up the actual load of the workers.
+type loadSampler struct {
+	slowdowns    []float64
+	batchCPU     float64 // In core-milliseconds.
+	availableCPU float64 // CPU that executors left, in core-milliseconds.
 }
 
-// take adds one sample that stands for a time. Data centres that are out are
-// not counted as capacity; what still runs there is counted as work.
-func (s *sampler) take(t imitator.GroundTruth, counted bool, d time.Duration) {
+// add adds one sample that covers a period d. Workers that are not counted, in
+// data centres that are out of service, add no capacity, but batch work that
+// still runs there counts as work.
+func (s *loadSampler) add(t imitator.GroundTruth, counted bool, d time.Duration) {
 	s.slowdowns = append(s.slowdowns, t.Slowdowns...)
 	ms := float64(d.Milliseconds()) / briarspring.MilliCPUPerCore
-	s.batch += float64(t.Batch) * ms
+	s.batchCPU += float64(t.Batch) * ms
 	if counted {
-		s.left += float64(t.Capacity-t.Executors) * ms
+		s.availableCPU += float64(t.Capacity-t.Executors) * ms
 	}
 }
 
-func (s *sampler) fill(m *Measures) {
+func (s *loadSampler) setMeasures(m *Measures) {
 	slices.Sort(s.slowdowns)
 	if n := len(s.slowdowns); n > 0 {
 		m.UrgentRatio = s.slowdowns[(n-1)*99/100]
 		m.UrgentWorst = s.slowdowns[n-1]
 	}
-	if s.left > 0 {
-		m.BatchShare = s.batch / s.left
+	if s.availableCPU > 0 {
+		m.BatchShare = s.batchCPU / s.availableCPU
 	}
 }
 
-// account goes through the workers' journal.
-type account struct {
-	running   map[briarspring.TaskID]briarspring.AttemptID
-	ended     map[briarspring.TaskID]string // Worker that finished it, while heard.
-	committed map[string]briarspring.Resources
-	done      map[string]int // Finished tasks by workload.
-	work      map[briarspring.TaskID]time.Duration
-	workDone  time.Duration
-	workLost  time.Duration
+// journalStats computes measures from the workers' journal.
+type journalStats struct {
+	runningAttempt map[briarspring.TaskID]briarspring.AttemptID
+	finishedOn     map[briarspring.TaskID]string // Worker on which the task finished, until its lease ends.
+	committed      map[string]briarspring.Resources
+	finished       map[string]int // Finished tasks by workload.
+	work           map[briarspring.TaskID]time.Duration
+	workDone       time.Duration
+	workLost       time.Duration
 }
 
-func newAccount() *account {
-	return &account{
-		running: map[briarspring.TaskID]briarspring.AttemptID{}, ended: map[briarspring.TaskID]string{},
-		committed: map[string]briarspring.Resources{}, done: map[string]int{},
+func newJournalStats() *journalStats {
+	return &journalStats{
+		runningAttempt: map[briarspring.TaskID]briarspring.AttemptID{}, finishedOn: map[briarspring.TaskID]string{},
+		committed: map[string]briarspring.Resources{}, finished: map[string]int{},
 		work: map[briarspring.TaskID]time.Duration{},
 	}
 }
 
-func (a *account) take(e imitator.JournalEntry, m *Measures) {
+func (a *journalStats) add(e imitator.JournalEntry, m *Measures) {
 	switch e.Kind {
 	case imitator.JournalLeaseEnd:
-		for task, worker := range a.ended {
+		for task, worker := range a.finishedOn {
 			if worker == e.Worker {
-				delete(a.ended, task)
+				delete(a.finishedOn, task)
 			}
 		}
 		return
 	case imitator.JournalStart:
-		a.start(e, m)
+		a.addStart(e, m)
 		return
 	}
 	task := e.Attempt.Task
 	a.committed[e.Worker] = a.committed[e.Worker].Sub(e.Resources)
-	if a.running[task] == e.Attempt {
-		delete(a.running, task)
+	if a.runningAttempt[task] == e.Attempt {
+		delete(a.runningAttempt, task)
 	}
 	before := time.Duration(e.Checkpoint) * time.Millisecond
 	switch e.Kind {
 	case imitator.JournalDone:
-		a.ended[task] = e.Worker
-		a.done[e.Name]++
+		a.finishedOn[task] = e.Worker
+		a.finished[e.Name]++
 		a.workDone += e.Work - before
 	case imitator.JournalCheckpoint:
 		m.Evictions++
@@ -140,12 +142,12 @@
 	}
 }
 
-func (a *account) start(e imitator.JournalEntry, m *Measures) {
+func (a *journalStats) addStart(e imitator.JournalEntry, m *Measures) {
 	task := e.Attempt.Task
-	if _, runs := a.running[task]; runs || a.ended[task] != "" {
+	if _, running := a.runningAttempt[task]; running || a.finishedOn[task] != "" {
 		m.Doubled++
 	}
-	a.running[task] = e.Attempt
+	a.runningAttempt[task] = e.Attempt
 	a.committed[e.Worker] = a.committed[e.Worker].Add(e.Resources)
 	if !a.committed[e.Worker].Fits(e.Capacity) {
 		m.Overcommitted++
--- a/replayer/replayer.go
+++ b/replayer/replayer.go
@@ -18,76 +18,76 @@
 )
 
 const (
-	schedulersPerPlace = 2
-	appendsPerSecond   = 300
-	logLatency         = 5 * time.Millisecond
-	hostsLag           = 500 * time.Millisecond
-	checkpointTime     = 100 * time.Millisecond
-	reportInterval     = time.Second
-	sampleInterval     = 100 * time.Millisecond
-	upLimit            = 20 * time.Second
-	submitLimit        = 10 * time.Second
-	drainBound         = 3 * time.Second
-	workerCores        = 16
-	workerMemory       = 60 * 1024
+	schedulersPerDataCentre = 2
+	appendsPerSecond        = 300
+	logLatency              = 5 * time.Millisecond
+	hostsLag                = 500 * time.Millisecond
+	checkpointTime          = 100 * time.Millisecond
+	reportInterval          = time.Second
+	sampleInterval          = 100 * time.Millisecond
+	startupTimeout          = 20 * time.Second
+	submitTimeout           = 10 * time.Second
+	startGracePeriod        = 3 * time.Second
+	workerCores             = 16
+	workerMemory            = 60 * 1024
 )
 
-// Replayer is one replay of a trace under one rule of placement.
+// Replayer replays one trace under one placement rule.
 type Replayer struct {
-	trace      Trace
-	rule       placer.Rule
-	logger     hclog.Logger
-	log        *imitator.Log
-	hosts      *imitator.Hosts
-	journal    *imitator.Journal
-	fleets     map[string]*imitator.Fleet
-	schedulers map[string]*scheduler.Scheduler
-	stops      map[string]context.CancelFunc
-	ctx        context.Context
-	begin      time.Time
-	requests   int
-	jobs       map[string]uint32 // Tasks of jobs that must finish.
-	cancelled  map[string]time.Time
-	out        map[string][]interval
-	sampler    sampler
+	trace         Trace
+	rule          placer.Rule
+	logger        hclog.Logger
+	log           *imitator.Log
+	hosts         *imitator.Hosts
+	journal       *imitator.Journal
+	fleets        map[string]*imitator.Fleet
+	schedulers    map[string]*scheduler.Scheduler
+	cancels       map[string]context.CancelFunc
+	ctx           context.Context
+	start         time.Time
+	requests      int
+	expectedTasks map[string]uint32 // Number of tasks of each job that must finish.
+	cancelled     map[string]time.Time
+	outIntervals  map[string][]interval
+	sampler       loadSampler
 }
 
 type interval struct{ from, to time.Time }
 
-// New returns a replay; Run makes it.
+// New returns a Replayer whose Run replays the trace.
 func New(t Trace, rule placer.Rule, logger hclog.Logger) *Replayer {
 	r := &Replayer{
 		trace: t, rule: rule, logger: logger,
 		log:   imitator.NewLog(imitator.LogConfig{AppendsPerSecond: appendsPerSecond, Seed: t.Seed}),
 		hosts: imitator.NewHosts(hostsLag), journal: &imitator.Journal{},
 		fleets: map[string]*imitator.Fleet{}, schedulers: map[string]*scheduler.Scheduler{},
-		stops: map[string]context.CancelFunc{}, jobs: map[string]uint32{},
-		cancelled: map[string]time.Time{}, out: map[string][]interval{},
+		cancels: map[string]context.CancelFunc{}, expectedTasks: map[string]uint32{},
+		cancelled: map[string]time.Time{}, outIntervals: map[string][]interval{},
 	}
 	r.log.SetFaults(imitator.LogFaults{Latency: logLatency})
 	return r
 }
 
-// Run replays the trace and returns what was measured.
+// Run replays the trace and returns its measures.
 func (r *Replayer) Run(ctx context.Context) (Measures, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	r.ctx = ctx
 	defer r.close(cancel)
 	for _, d := range r.trace.DataCentres {
-		r.addPlace(d)
+		r.addDataCentre(d)
 	}
 	if err := r.waitUntilUp(); err != nil {
 		return Measures{}, err
 	}
-	r.begin = time.Now()
+	r.start = time.Now()
 	sampled := make(chan struct{})
 	go func() {
 		defer close(sampled)
-		r.sample()
+		r.sampleLoad()
 	}()
 	for _, e := range r.trace.Events {
 		r.sleepUntil(time.Duration(e.At))
-		if err := r.do(e); err != nil {
+		if err := r.applyEvent(e); err != nil {
 			cancel()
 			<-sampled
 			return Measures{}, fmt.Errorf("at %s: %s: %w", time.Duration(e.At), e.Kind, err)
@@ -95,7 +95,7 @@
 	}
 	r.sleepUntil(time.Duration(r.trace.Length))
 	<-sampled
-	return r.measure(), nil
+	return r.computeMeasures(), nil
 }
 
 func (r *Replayer) close(cancel context.CancelFunc) {
@@ -110,9 +110,9 @@
 	}
 }
 
-func (r *Replayer) sleepUntil(at time.Duration) { time.Sleep(time.Until(r.begin.Add(at))) }
+func (r *Replayer) sleepUntil(at time.Duration) { time.Sleep(time.Until(r.start.Add(at))) }
 
-func (r *Replayer) addPlace(d DataCentre) {
+func (r *Replayer) addDataCentre(d DataCentre) {
 	f := imitator.NewFleet(r.trace.Seed)
 	r.fleets[d.Name] = f
 	random := rand.New(rand.NewPCG(r.trace.Seed, uint64(len(r.fleets))))
@@ -129,31 +129,32 @@
 		}))
 		r.hosts.Put(briarspring.Host{Name: name, DataCentre: d.Name, Rack: rack, Address: name})
 	}
-	for i := range schedulersPerPlace {
+	for i := range schedulersPerDataCentre {
 		r.startScheduler(d.Name, fmt.Sprintf("%s-s%d", d.Name, i))
 	}
 }
 
-func (r *Replayer) startScheduler(place, name string) {
+func (r *Replayer) startScheduler(dataCentre, name string) {
 	s := scheduler.New(scheduler.Config{
-		Name: name, DataCentre: place, Log: r.log.Client(name), Workers: r.fleets[place].Client(name),
+		Name: name, DataCentre: dataCentre, Log: r.log.Client(name), Workers: r.fleets[dataCentre].Client(name),
 		Hosts: r.hosts, Logger: r.logger, Rule: r.rule,
 	})
 	ctx, cancel := context.WithCancel(r.ctx)
 	r.schedulers[name] = s
-	r.stops[name] = cancel
+	r.cancels[name] = cancel
 	go s.Run(ctx)
 }
 
-// any returns a scheduler of a data centre.
-func (r *Replayer) any() *scheduler.Scheduler {
+// anyScheduler returns the first scheduler of the first data centre; any
+// scheduler would do.
+func (r *Replayer) anyScheduler() *scheduler.Scheduler {
 	return r.schedulers[r.trace.DataCentres[0].Name+"-s0"]
 }
 
 func (r *Replayer) waitUntilUp() error {
-	for end := time.Now().Add(upLimit); time.Now().Before(end); time.Sleep(sampleInterval) {
+	for end := time.Now().Add(startupTimeout); time.Now().Before(end); time.Sleep(sampleInterval) {
 		up := true
-		r.any().View(func(conf *applier.Config, _ *applier.Placement) {
+		r.anyScheduler().View(func(conf *applier.Config, _ *applier.Placement) {
 			for _, d := range r.trace.DataCentres {
 				c := conf.DataCentre(d.Name)
 				up = up && c != nil && int(c.Summary().Workers) == d.Workers
@@ -163,16 +164,16 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the data centres did not come up within %s", upLimit)
+	return fmt.Errorf("the data centres did not start within %s", startupTimeout)
 }
 
-// sample looks at the workers while the trace measures.
-func (r *Replayer) sample() {
+// sampleLoad samples the load of all workers from MeasureFrom to MeasureTo.
+func (r *Replayer) sampleLoad() {
 	r.sleepUntil(time.Duration(r.trace.MeasureFrom))
-	end := r.begin.Add(time.Duration(r.trace.MeasureTo))
+	end := r.start.Add(time.Duration(r.trace.MeasureTo))
 	for time.Now().Before(end) && r.ctx.Err() == nil {
 		out := map[string]bool{}
-		r.any().View(func(conf *applier.Config, _ *applier.Placement) {
+		r.anyScheduler().View(func(conf *applier.Config, _ *applier.Placement) {
 			for _, d := range conf.DataCentres() {
 				out[d.Name()] = d.Out()
 			}
@@ -181,7 +182,7 @@
 			f := r.fleets[d.Name]
 			for _, name := range f.Names() {
 				if w := f.Worker(name); w != nil {
-					r.sampler.take(w.GroundTruth(), !out[d.Name], sampleInterval)
+					r.sampler.add(w.GroundTruth(), !out[d.Name], sampleInterval)
 				}
 			}
 		}
@@ -189,14 +190,14 @@
 	}
 }
 
-func (r *Replayer) do(e Event) error {
+func (r *Replayer) applyEvent(e Event) error {
 	switch e.Kind {
 	case KindObjects:
-		return r.apply(e.Text)
+		return r.applyObjects(e.Text)
 	case KindCancel:
 		for _, name := range e.Names {
 			r.cancelled[name] = time.Now()
-			delete(r.jobs, name)
+			delete(r.expectedTasks, name)
 		}
 		return r.submit(0, briarspring.CancelJobs{Names: e.Names})
 	case KindTakeOut:
@@ -204,9 +205,9 @@
 	case KindReturn:
 		return r.setOut(e.Target, false)
 	case KindKillWorker:
-		r.kill(func(name, _ string) bool { return name == e.Target })
+		r.killWorkers(func(name, _ string) bool { return name == e.Target })
 	case KindKillRack:
-		r.kill(func(_, rack string) bool { return rack == e.Target })
+		r.killWorkers(func(_, rack string) bool { return rack == e.Target })
 	case KindOutage:
 		r.log.SetFaults(imitator.LogFaults{Latency: logLatency, Down: true})
 		time.AfterFunc(time.Duration(e.Length), func() { r.log.SetFaults(imitator.LogFaults{Latency: logLatency}) })
@@ -216,8 +217,8 @@
 	return nil
 }
 
-// kill ends the workers that match, as hosts that die.
-func (r *Replayer) kill(match func(name, rack string) bool) {
+// killWorkers removes the workers that match, as if their hosts had died.
+func (r *Replayer) killWorkers(match func(name, rack string) bool) {
 	for _, d := range r.trace.DataCentres {
 		f := r.fleets[d.Name]
 		for i, name := range f.Names() {
@@ -229,19 +230,19 @@
 	}
 }
 
-func (r *Replayer) killOwner(place string) {
-	for i := range schedulersPerPlace {
-		name := fmt.Sprintf("%s-s%d", place, i)
+func (r *Replayer) killOwner(dataCentre string) {
+	for i := range schedulersPerDataCentre {
+		name := fmt.Sprintf("%s-s%d", dataCentre, i)
 		if r.schedulers[name].Owner() {
-			r.stops[name]()
+			r.cancels[name]()
 			<-r.schedulers[name].Done()
-			r.startScheduler(place, name)
+			r.startScheduler(dataCentre, name)
 			return
 		}
 	}
 }
 
-func (r *Replayer) apply(text string) error {
+func (r *Replayer) applyObjects(text string) error {
 	objects, err := declarer.Parse(r.trace.Name, []byte(text))
 	if err != nil {
 		return err
@@ -254,7 +255,7 @@
 		case o.Job != nil:
 			change = briarspring.PutJob{Job: *o.Job}
 			if !strings.Contains(o.Job.Command(), "open-ended") {
-				r.jobs[o.Job.Name()] = o.Job.Tasks()
+				r.expectedTasks[o.Job.Name()] = o.Job.Tasks()
 			}
 		default:
 			change = briarspring.PutQuota{Quota: *o.Quota}
@@ -268,9 +269,9 @@
 
 func (r *Replayer) submit(expected uint64, change briarspring.Change) error {
 	r.requests++
-	ctx, cancel := context.WithTimeout(r.ctx, submitLimit)
+	ctx, cancel := context.WithTimeout(r.ctx, submitTimeout)
 	defer cancel()
-	a, err := r.any().Submit(ctx, briarspring.Command{
+	a, err := r.anyScheduler().Submit(ctx, briarspring.Command{
 		RequestID: fmt.Sprintf("replay-%d", r.requests), ExpectedVersion: expected, Change: change,
 	})
 	if err != nil {
@@ -279,34 +280,35 @@
 	return a.Err
 }
 
-func (r *Replayer) setOut(place string, out bool) error {
+func (r *Replayer) setOut(dataCentre string, out bool) error {
 	var version uint64
-	r.any().View(func(conf *applier.Config, _ *applier.Placement) { version = conf.DataCentre(place).Version() })
+	r.anyScheduler().View(func(conf *applier.Config, _ *applier.Placement) { version = conf.DataCentre(dataCentre).Version() })
 	if !out {
-		list := r.out[place]
+		list := r.outIntervals[dataCentre]
 		list[len(list)-1].to = time.Now()
-		return r.submit(version, briarspring.Return{DataCentre: place})
+		return r.submit(version, briarspring.Return{DataCentre: dataCentre})
 	}
-	if err := r.submit(version, briarspring.TakeOut{DataCentre: place}); err != nil {
+	if err := r.submit(version, briarspring.TakeOut{DataCentre: dataCentre}); err != nil {
 		return err
 	}
-	r.out[place] = append(r.out[place], interval{from: time.Now(), to: r.begin.Add(time.Duration(r.trace.Length))})
+	r.outIntervals[dataCentre] = append(r.outIntervals[dataCentre], interval{from: time.Now(), to: r.start.Add(time.Duration(r.trace.Length))})
 	return nil
 }
 
-// measure goes through the workers' own account.
-func (r *Replayer) measure() Measures {
+// computeMeasures computes the measures from the load samples and the workers'
+// journal.
+func (r *Replayer) computeMeasures() Measures {
 	var m Measures
-	r.sampler.fill(&m)
-	a := newAccount()
+	r.sampler.setMeasures(&m)
+	a := newJournalStats()
 	for _, e := range r.journal.Entries() {
-		a.take(e, &m)
+		a.add(e, &m)
 		if e.Kind == imitator.JournalStart {
 			r.checkStart(e, &m)
 		}
 	}
-	for name, tasks := range r.jobs {
-		m.Unfinished += float64(max(int(tasks)-a.done[name], 0))
+	for name, tasks := range r.expectedTasks {
+		m.Unfinished += float64(max(int(tasks)-a.finished[name], 0))
 	}
 	if total := a.workDone + a.workLost; total > 0 {
 		m.LostShare = a.workLost.Seconds() / total.Seconds()
@@ -315,13 +317,13 @@
 }
 
 func (r *Replayer) checkStart(e imitator.JournalEntry, m *Measures) {
-	place, _, _ := strings.Cut(e.Worker, "-w")
-	for _, i := range r.out[place] {
-		if e.Time.After(i.from.Add(drainBound)) && e.Time.Before(i.to) {
+	dataCentre, _, _ := strings.Cut(e.Worker, "-w")
+	for _, i := range r.outIntervals[dataCentre] {
+		if e.Time.After(i.from.Add(startGracePeriod)) && e.Time.Before(i.to) {
 			m.LateStarts++
 		}
 	}
-	if at, ok := r.cancelled[e.Name]; ok && e.Time.After(at.Add(drainBound)) {
+	if at, ok := r.cancelled[e.Name]; ok && e.Time.After(at.Add(startGracePeriod)) {
 		m.StartsAfterCut++
 	}
 }
--- a/replayer/replayer_test.go
+++ b/replayer/replayer_test.go
@@ -13,7 +13,7 @@
 	"briarspring/replayer"
 )
 
-// replay runs a trace in virtual time.
+// replay replays a trace in virtual time.
 func replay(t *testing.T, trace replayer.Trace, rule placer.Rule) (m replayer.Measures) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/replayer/trace.go
+++ b/replayer/trace.go
@@ -1,6 +1,6 @@
-// Package replayer drives the schedulers of a whole system through a recorded
-// trace, on stand-ins in one process, and holds the result against the outcomes
-// that the trace states.
+// Package replayer replays a recorded trace against the schedulers of a whole
+// system, with stand-ins for the platform in one process, and compares the
+// measures with the outcomes that the trace requires.
 package replayer
 
 import (
@@ -23,7 +23,8 @@
 	return err
 }
 
-// Trace is what was recorded of a system, with the outcomes it must have.
+// Trace is a recording of a system's events, with the outcomes that a replay must
+// have.
 type Trace struct {
 	Name        string       `json:"name"`
 	Firm        string       `json:"firm"`
@@ -53,18 +54,18 @@
 	KindReturn     = "return"      // Operators bring a data centre back.
 	KindKillWorker = "kill-worker" // A worker dies.
 	KindKillRack   = "kill-rack"   // All workers of a rack die.
-	KindOutage     = "log-outage"  // The log is down for a time.
-	KindKillOwner  = "kill-owner"  // The owner of a data centre dies and comes back.
+	KindOutage     = "log-outage"  // The log is down for the event's length.
+	KindKillOwner  = "kill-owner"  // The scheduler that owns a data centre is stopped and restarted.
 )
 
-// Event is one thing that happened, at a time since the trace's begin.
+// Event is an event at a time since the start of the trace.
 type Event struct {
 	At     Duration `json:"at"`
 	Kind   string   `json:"kind"`
-	Text   string   `json:"text,omitempty"`   // Objects, in the form of package declarer.
-	Names  []string `json:"names,omitempty"`  // Of jobs.
-	Target string   `json:"target,omitempty"` // Data centre, worker or rack.
-	Length Duration `json:"length,omitempty"` // Of an outage.
+	Text   string   `json:"text,omitempty"`   // Objects, in the format of package declarer.
+	Names  []string `json:"names,omitempty"`  // Names of jobs.
+	Target string   `json:"target,omitempty"` // Name of a data centre, worker or rack.
+	Length Duration `json:"length,omitempty"` // Duration of an outage.
 }
 
 // Outcome is a bound on one measure of the replay.
@@ -75,7 +76,7 @@
 	Source  string   `json:"source"` // The promise or target that the bound comes from.
 }
 
-// TraceError tells what is wrong in a trace file.
+// TraceError reports a trace file that can't be read or is not valid.
 type TraceError struct {
 	File   string
 	Reason string
@@ -84,12 +85,12 @@
 // Error implements error.
 func (e *TraceError) Error() string { return e.File + ": " + e.Reason }
 
-var kinds = map[string]bool{
+var validKinds = map[string]bool{
 	KindObjects: true, KindCancel: true, KindTakeOut: true, KindReturn: true,
 	KindKillWorker: true, KindKillRack: true, KindOutage: true, KindKillOwner: true,
 }
 
-// Load reads and checks a trace. Errors are *TraceError.
+// Load reads and validates a trace. Errors are *TraceError.
 func Load(path string) (Trace, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -102,30 +103,30 @@
 	if err := d.Decode(&t); err != nil {
 		return Trace{}, &TraceError{File: path, Reason: err.Error()}
 	}
-	if reason := t.check(); reason != "" {
+	if reason := t.validate(); reason != "" {
 		return Trace{}, &TraceError{File: path, Reason: reason}
 	}
 	return t, nil
 }
 
-func (t Trace) check() string {
+func (t Trace) validate() string {
 	if len(t.DataCentres) == 0 || t.Length <= 0 || t.MeasureTo <= t.MeasureFrom || t.MeasureTo > t.Length {
-		return "it needs data centres, a length, and a time to measure within it"
+		return "data centres, a length and a measuring period within it are required"
 	}
 	for i, e := range t.Events {
-		if !kinds[e.Kind] {
+		if !validKinds[e.Kind] {
 			return fmt.Sprintf("event %d has unknown kind %q", i, e.Kind)
 		}
 		if i > 0 && e.At < t.Events[i-1].At {
-			return fmt.Sprintf("event %d is before the one ahead of it", i)
+			return fmt.Sprintf("event %d is earlier than the event before it", i)
 		}
 	}
 	for _, o := range t.Outcomes {
 		if _, ok := (Measures{}).Get(o.Measure); !ok {
-			return fmt.Sprintf("outcome on unknown measure %q", o.Measure)
+			return fmt.Sprintf("outcome has unknown measure %q", o.Measure)
 		}
 		if o.AtMost == nil && o.AtLeast == nil {
-			return fmt.Sprintf("outcome on %s has no bound", o.Measure)
+			return fmt.Sprintf("outcome for %s has no bound", o.Measure)
 		}
 	}
 	return ""
