--- a/demonstrator/address.go
+++ b/demonstrator/address.go
@@ -7,42 +7,43 @@
 	"sync"
 )
 
-// Ports for a system on one machine. They lie below those that the kernel gives
-// to outgoing connections, so that none of these takes an address before its
-// process listens there.
+// Ports for a system on one machine. They lie below the kernel's ephemeral range,
+// so that no outgoing connection takes a port before its process listens on it.
 const (
 	firstPort = 20000
 	lastPort  = 32000
-	// portSpread keeps processes that start together from trying the same ports.
+	// portSpread is both the number of first ports, chosen by process id, and the
+	// distance between them, so that processes that start together try different
+	// ports.
 	portSpread = 100
 )
 
 var ports = struct {
 	sync.Mutex
-	next int
-}{next: firstPort + os.Getpid()%portSpread*portSpread}
+	nextPort int
+}{nextPort: firstPort + os.Getpid()%portSpread*portSpread}
 
-// NoPortError tells that no port of the range is free.
-type NoPortError struct{}
+// NoFreePortError reports that no port of the range is free.
+type NoFreePortError struct{}
 
 // Error implements error.
-func (*NoPortError) Error() string {
+func (*NoFreePortError) Error() string {
 	return fmt.Sprintf("no port from %d to %d is free", firstPort, lastPort)
 }
 
-// FreeAddress returns a loopback address that nobody listens at, over TCP or
-// UDP, and that it has not returned before.
+// FreeAddress returns a loopback address on which no process listens over TCP or
+// UDP, and which it has not returned before.
 func FreeAddress() (string, error) {
 	ports.Lock()
 	defer ports.Unlock()
-	for ports.next < lastPort {
-		address := fmt.Sprintf("127.0.0.1:%d", ports.next)
-		ports.next++
+	for ports.nextPort < lastPort {
+		address := fmt.Sprintf("127.0.0.1:%d", ports.nextPort)
+		ports.nextPort++
 		if isFree(address) {
 			return address, nil
 		}
 	}
-	return "", &NoPortError{}
+	return "", &NoFreePortError{}
 }
 
 func isFree(address string) bool {
--- a/demonstrator/demonstrator.go
+++ b/demonstrator/demonstrator.go
@@ -1,5 +1,5 @@
-// Package demonstrator runs everything in one process on an embedded platform,
-// for a first look and for the example workloads.
+// Package demonstrator runs a whole system in one process on an embedded
+// platform, for trying it out and for the example workloads.
 package demonstrator
 
 import (
@@ -21,50 +21,50 @@
 // Config holds the settings of a Demonstrator.
 type Config struct {
 	Firm       Firm
-	EntryHosts int // Of each data centre.
-	Workers    int // Of each data centre, for services and jobs, and as many for workflows.
+	EntryHosts int // Entry hosts per data centre.
+	Workers    int // Workers per data centre for services and jobs, and as many again for workflows.
 	Logs       io.Writer
 	LogLevel   string
 }
 
 // Demonstrator is a whole system in one process.
 type Demonstrator struct {
-	config     Config
-	log        *imitator.Log
-	hosts      *imitator.Hosts
-	journal    *imitator.Journal
-	places     []*Place
-	schedulers []*launcher.Launcher
-	gateways   []*launcher.Launcher
-	workflows  *workflows
-	done       chan struct{}
+	config      Config
+	log         *imitator.Log
+	hosts       *imitator.Hosts
+	journal     *imitator.Journal
+	dataCentres []*DataCentre
+	schedulers  []*launcher.Launcher
+	gateways    []*launcher.Launcher
+	workflows   *workflows
+	done        chan struct{}
 }
 
-// Place is a data centre of the system.
-type Place struct {
+// DataCentre is a data centre of the system.
+type DataCentre struct {
 	Name      string
 	Gateways  []string
 	Operators []string
-	Admins    []string // Of the schedulers.
-	Hosts     []string // Operators' addresses of the hosts that run workflows.
+	Admins    []string // Admin addresses of the schedulers.
+	Hosts     []string // Operators' addresses of the hosts that schedule workflows.
 	fleet     *imitator.Fleet
 	peers     []string
 }
 
 const (
-	hostsLag       = 500 * time.Millisecond
-	appendsPerSec  = 300
-	logLatency     = 2 * time.Millisecond
-	checkpointTime = 50 * time.Millisecond
-	reportInterval = time.Second
-	workersPerRack = 8
-	workerCores    = 16
-	workerMemory   = 60 * 1024
-	certificates   = 24 * time.Hour
-	stopTime       = "10s"
+	hostsLag            = 500 * time.Millisecond
+	appendsPerSec       = 300
+	logLatency          = 2 * time.Millisecond
+	checkpointTime      = 50 * time.Millisecond
+	reportInterval      = time.Second
+	workersPerRack      = 8
+	workerCores         = 16
+	workerMemory        = 60 * 1024
+	certificateLifetime = 24 * time.Hour
+	stopTime            = "10s"
 )
 
-// New builds the system; Run makes it work.
+// New builds the system; Run runs it.
 func New(c Config) (*Demonstrator, error) {
 	d := &Demonstrator{
 		config: c, log: imitator.NewLog(imitator.LogConfig{AppendsPerSecond: appendsPerSec}),
@@ -76,25 +76,25 @@
 		return nil, err
 	}
 	for _, name := range c.Firm.DataCentres {
-		p, err := d.newPlace(name)
+		p, err := d.newDataCentre(name)
 		if err != nil {
 			return nil, err
 		}
-		d.places = append(d.places, p)
+		d.dataCentres = append(d.dataCentres, p)
 	}
-	for _, p := range d.places {
+	for _, p := range d.dataCentres {
 		for i := range c.EntryHosts {
 			if err := d.addEntryHost(p, i, authority); err != nil {
 				return nil, err
 			}
 		}
 	}
-	d.workflows, err = newWorkflows(c, d.places)
+	d.workflows, err = newWorkflows(c, d.dataCentres)
 	return d, err
 }
 
-func (d *Demonstrator) newPlace(name string) (*Place, error) {
-	p := &Place{Name: name, fleet: imitator.NewFleet(1)}
+func (d *Demonstrator) newDataCentre(name string) (*DataCentre, error) {
+	p := &DataCentre{Name: name, fleet: imitator.NewFleet(1)}
 	for i := range d.config.Workers {
 		worker := fmt.Sprintf("%s-w%02d", name, i)
 		rack := fmt.Sprintf("%s-r%d", name, i/workersPerRack)
@@ -119,22 +119,23 @@
 	return p, nil
 }
 
-// embedded is the platform as one data centre's processes reach it.
-type embedded struct {
+// embeddedPlatform is one data centre's access to the platform.
+type embeddedPlatform struct {
 	*imitator.LogClient
 	*imitator.FleetClient
 	*hostList
 }
 
-// hostList is renamed so that its method of the same name is promoted.
+// hostList is an alias because an embedded field named Hosts would hide the
+// promoted method Hosts.
 type hostList = imitator.Hosts
 
-func (d *Demonstrator) addEntryHost(p *Place, i int, authority *certifier.Authority) error {
+func (d *Demonstrator) addEntryHost(p *DataCentre, i int, authority *certifier.Authority) error {
 	settings, err := loader.Parse("dev", []byte(d.settings(p, i)))
 	if err != nil {
 		return err
 	}
-	pair, err := authority.Issue(certificates)
+	pair, err := authority.Issue(certificateLifetime)
 	if err != nil {
 		return err
 	}
@@ -144,7 +145,7 @@
 	}
 	name := settings.Process.Name
 	outside := assembler.Outside{
-		Platform: embedded{d.log.Client(name), p.fleet.Client(name), d.hosts}, TLS: tls, Logs: d.config.Logs,
+		Platform: embeddedPlatform{d.log.Client(name), p.fleet.Client(name), d.hosts}, TLS: tls, Logs: d.config.Logs,
 	}
 	scheduler, err := assembler.NewScheduler(settings, outside)
 	if err != nil {
@@ -159,11 +160,11 @@
 	return nil
 }
 
-func (d *Demonstrator) settings(p *Place, i int) string {
-	var elsewhere []string
-	for _, o := range d.places {
+func (d *Demonstrator) settings(p *DataCentre, i int) string {
+	var otherGateways []string
+	for _, o := range d.dataCentres {
 		if o != p {
-			elsewhere = append(elsewhere, o.Name+"="+o.Gateways[0])
+			otherGateways = append(otherGateways, o.Name+"="+o.Gateways[0])
 		}
 	}
 	return fmt.Sprintf(`[process]
@@ -192,28 +193,29 @@
 notice-time = 100ms
 elsewhere = %s
 `, p.Name, i, p.Name, stopTime, d.config.LogLevel, p.Admins[i], p.Operators[i], p.peers[i],
-		p.Gateways[i], strings.Join(p.peers, ","), i, len(p.Gateways), strings.Join(elsewhere, ","))
+		p.Gateways[i], strings.Join(p.peers, ","), i, len(p.Gateways), strings.Join(otherGateways, ","))
 }
 
 // Places returns the data centres.
-func (d *Demonstrator) Places() []*Place { return d.places }
+func (d *Demonstrator) Places() []*DataCentre { return d.dataCentres }
 
 // Gateways returns the addresses of all gateways.
 func (d *Demonstrator) Gateways() []string {
 	var out []string
-	for _, p := range d.places {
+	for _, p := range d.dataCentres {
 		out = append(out, p.Gateways...)
 	}
 	return out
 }
 
-// Journal returns the workers' own account.
+// Journal returns the journal that the workers keep.
 func (d *Demonstrator) Journal() *imitator.Journal { return d.journal }
 
 // Done returns a channel that is closed when Run has ended.
 func (d *Demonstrator) Done() <-chan struct{} { return d.done }
 
-// Run works until the context ends.
+// Run runs the system until the context ends. Schedulers are stopped after the
+// gateways and the workflow hosts.
 func (d *Demonstrator) Run(ctx context.Context) {
 	defer close(d.done)
 	schedulersCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
--- a/demonstrator/example.go
+++ b/demonstrator/example.go
@@ -20,18 +20,18 @@
 	"briarspring/imitator"
 )
 
-// Firm is one of the workloads that the example can run.
+// Firm is an organisation whose workloads the example can run.
 type Firm struct {
 	DataCentres []string
-	Objects     string // In the form that package declarer reads.
+	Objects     string // In the format of package declarer.
 	Service     string
 	Path        string
 	Jobs        []string
-	Rate        float64 // Requests a second.
-	Out         string  // Data centre that leaves and returns.
+	Rate        float64 // Requests per second.
+	TakenOut    string  // Data centre that is taken out of service and returned.
 }
 
-// Firms are the workloads by name.
+// Firms are the organisations by name.
 var Firms = map[string]Firm{
 	"kask": {
 		DataCentres: []string{"tartu", "viljandi", "voru"},
@@ -63,7 +63,7 @@
 run-time = 3s
 command = index time=3s noise-ledger=0.4
 `,
-		Service: "ledger", Path: "/ledger/read", Jobs: []string{"season-bundle", "archive"}, Rate: 300, Out: "voru",
+		Service: "ledger", Path: "/ledger/read", Jobs: []string{"season-bundle", "archive"}, Rate: 300, TakenOut: "voru",
 	},
 	"hanbit": {
 		DataCentres: []string{"busan-a", "busan-b", "daegu", "ulsan"},
@@ -95,69 +95,69 @@
 run-time = 3s
 command = reprice time=3s noise-prices=0.3
 `,
-		Service: "prices", Path: "/prices/quote", Jobs: []string{"reprice-tills", "reprice-wholesale"}, Rate: 400, Out: "daegu",
+		Service: "prices", Path: "/prices/quote", Jobs: []string{"reprice-tills", "reprice-wholesale"}, Rate: 400, TakenOut: "daegu",
 	},
 }
 
 const (
-	upLimit    = 20 * time.Second
-	jobsLimit  = 60 * time.Second
-	loadTime   = 15 * time.Second
-	outAfter   = 4 * time.Second
-	backAfter  = 5 * time.Second
-	callLimit  = 10 * time.Second
-	askTimeout = 2 * time.Second
-	upPause    = 100 * time.Millisecond
+	startupTimeout = 20 * time.Second
+	jobsTimeout    = 60 * time.Second
+	loadDuration   = 15 * time.Second
+	takeOutDelay   = 4 * time.Second
+	returnDelay    = 5 * time.Second
+	callTimeout    = 10 * time.Second
+	requestTimeout = 2 * time.Second
+	pollInterval   = 100 * time.Millisecond
 )
 
-// BrokenError tells which promise an example run broke.
-type BrokenError struct {
+// FailedCheckError reports the checks that an example run failed.
+type FailedCheckError struct {
 	Problems []string
 }
 
 // Error implements error.
-func (e *BrokenError) Error() string {
-	return fmt.Sprintf("the example broke a promise: %q", e.Problems)
+func (e *FailedCheckError) Error() string {
+	return fmt.Sprintf("the example failed its checks: %q", e.Problems)
 }
 
 // example is one run of a firm's workloads.
 type example struct {
-	system *Demonstrator
-	firm   Firm
-	client briarspringv1connect.OperatorsClient
-	flows  *workflowRun
-	out    io.Writer
+	system      *Demonstrator
+	firm        Firm
+	client      briarspringv1connect.OperatorsClient
+	workflowRun *workflowRun
+	out         io.Writer
 }
 
-// Example runs a firm's workloads, takes a data centre out and back meanwhile,
-// and prints a summary. It returns a *BrokenError when something was lost,
-// doubled or wrong.
+// Example runs a firm's workloads, meanwhile takes a data centre out of service
+// and returns it, and prints a summary. It returns a *FailedCheckError when a
+// request, task or workflow was lost, run twice or wrong.
 func Example(ctx context.Context, d *Demonstrator, firm Firm, out io.Writer) error {
 	e := &example{system: d, firm: firm, out: out}
 	e.client = briarspringv1connect.NewOperatorsClient(http.DefaultClient, "http://"+d.Places()[0].Operators[0])
-	e.flows = newWorkflowRun(d.workflows, d.Places()[0].Hosts[0])
-	if err := e.up(ctx); err != nil {
+	e.workflowRun = newWorkflowRun(d.workflows, d.Places()[0].Hosts[0])
+	if err := e.waitUntilUp(ctx); err != nil {
 		return err
 	}
-	if err := e.flows.up(ctx); err != nil {
+	if err := e.workflowRun.waitForOwners(ctx); err != nil {
 		return err
 	}
-	if err := e.create(ctx); err != nil {
+	if err := e.createObjects(ctx); err != nil {
 		return err
 	}
-	if err := e.executorsUp(ctx); err != nil {
+	if err := e.waitForExecutors(ctx); err != nil {
 		return err
 	}
 	loaded := make(chan []*generator.Result, 1)
-	go func() { loaded <- e.load(ctx) }()
+	go func() { loaded <- e.generateLoad(ctx) }()
 	completed := make(chan error, 1)
-	go e.flows.load(ctx)
-	go func() { completed <- e.flows.watch(ctx) }()
-	if err := e.move(ctx); err != nil {
+	go e.workflowRun.submitAll(ctx)
+	go func() { completed <- e.workflowRun.waitForCompletion(ctx) }()
+	if err := e.takeOutAndReturn(ctx); err != nil {
 		return err
 	}
 	results := <-loaded
-	jobs, err := e.jobsDone(ctx)
+	jobs, err := e.waitForJobs(ctx)
 	if err != nil {
 		return err
 	}
@@ -167,23 +167,23 @@
 	return e.summarize(results[0], jobs)
 }
 
-// until polls a condition.
-func until(ctx context.Context, limit time.Duration, what string, condition func() bool) error {
-	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; {
+// waitUntil polls a condition until it holds, ctx ends or the timeout has passed.
+func waitUntil(ctx context.Context, timeout time.Duration, what string, condition func() bool) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; {
 		if condition() {
 			return nil
 		}
-		time.Sleep(upPause)
+		time.Sleep(pollInterval)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return fmt.Errorf("%s did not happen within %s", what, limit)
+	return fmt.Errorf("%s did not happen within %s", what, timeout)
 }
 
-// up waits until every data centre has an owner and workers.
-func (e *example) up(ctx context.Context) error {
-	return until(ctx, upLimit, "the start of all data centres", func() bool {
+// waitUntilUp waits until every data centre has an owner and all its workers.
+func (e *example) waitUntilUp(ctx context.Context) error {
+	return waitUntil(ctx, startupTimeout, "the start of all data centres", func() bool {
 		list, err := e.dataCentres(ctx)
 		if err != nil || len(list) < len(e.firm.DataCentres) {
 			return false
@@ -198,7 +198,7 @@
 }
 
 func (e *example) dataCentres(ctx context.Context) ([]*pb.DataCentreDescription, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	m, err := e.client.ListDataCentres(ctx, connect.NewRequest(&pb.ListDataCentresRequest{}))
 	if err != nil {
@@ -207,13 +207,13 @@
 	return m.Msg.GetDataCentres(), nil
 }
 
-func (e *example) create(ctx context.Context) error {
+func (e *example) createObjects(ctx context.Context) error {
 	objects, err := declarer.Parse("example", []byte(e.firm.Objects))
 	if err != nil {
 		return err
 	}
 	for i, o := range objects {
-		ctx, cancel := context.WithTimeout(ctx, callLimit)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		id := fmt.Sprintf("example-%d", i)
 		switch {
 		case o.Service != nil:
@@ -233,9 +233,9 @@
 	return nil
 }
 
-// executorsUp waits until every gateway serves.
-func (e *example) executorsUp(ctx context.Context) error {
-	return until(ctx, upLimit, "the service at every gateway", func() bool {
+// waitForExecutors waits until every gateway serves the service.
+func (e *example) waitForExecutors(ctx context.Context) error {
+	return waitUntil(ctx, startupTimeout, "the service at every gateway", func() bool {
 		for _, g := range e.system.Gateways() {
 			r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g+e.firm.Path, nil)
 			if err != nil {
@@ -254,21 +254,21 @@
 	})
 }
 
-func (e *example) load(ctx context.Context) []*generator.Result {
+func (e *example) generateLoad(ctx context.Context) []*generator.Result {
 	return generator.Run(ctx, generator.Config{
 		Arms: []generator.Arm{{Name: e.firm.Service, Addresses: e.system.Gateways()}},
-		Rate: e.firm.Rate, Duration: loadTime, Path: e.firm.Path, Timeout: askTimeout,
+		Rate: e.firm.Rate, Duration: loadDuration, Path: e.firm.Path, Timeout: requestTimeout,
 		Body: "receipt ", Prefix: "example", Seed: 1,
 	})
 }
 
-// move takes a data centre out and brings it back while the load goes on.
-func (e *example) move(ctx context.Context) error {
+// takeOutAndReturn takes a data centre out of service and returns it, under load.
+func (e *example) takeOutAndReturn(ctx context.Context) error {
 	for _, step := range []struct {
 		wait time.Duration
 		out  bool
-	}{{outAfter, true}, {backAfter, false}} {
-		if err := until(ctx, step.wait+callLimit, "waiting", func() func() bool {
+	}{{takeOutDelay, true}, {returnDelay, false}} {
+		if err := waitUntil(ctx, step.wait+callTimeout, "waiting", func() func() bool {
 			at := time.Now().Add(step.wait)
 			return func() bool { return time.Now().After(at) }
 		}()); err != nil {
@@ -286,10 +286,10 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for _, d := range list {
-		if d.GetName() != e.firm.Out {
+		if d.GetName() != e.firm.TakenOut {
 			continue
 		}
 		q := connect.NewRequest(&pb.DataCentreRequest{
@@ -306,10 +306,10 @@
 	return err
 }
 
-func (e *example) jobsDone(ctx context.Context) ([]*pb.JobDescription, error) {
+func (e *example) waitForJobs(ctx context.Context) ([]*pb.JobDescription, error) {
 	var jobs []*pb.JobDescription
 	var lastErr error
-	err := until(ctx, jobsLimit, "the end of all jobs", func() bool {
+	err := waitUntil(ctx, jobsTimeout, "the end of all jobs", func() bool {
 		m, err := e.client.ListJobs(ctx, connect.NewRequest(&pb.ListJobsRequest{}))
 		lastErr = err
 		if err != nil {
@@ -324,13 +324,13 @@
 		return true
 	})
 	if err != nil {
-		return jobs, fmt.Errorf("%w (error of the last call: %v): %s", err, lastErr, progressOf(jobs))
+		return jobs, fmt.Errorf("%w (error of the last call: %v): %s", err, lastErr, describeProgress(jobs))
 	}
 	return jobs, nil
 }
 
-// progressOf tells how far jobs have come, for an error.
-func progressOf(jobs []*pb.JobDescription) string {
+// describeProgress describes the progress of jobs, for an error message.
+func describeProgress(jobs []*pb.JobDescription) string {
 	var list []string
 	for _, j := range jobs {
 		list = append(list, fmt.Sprintf("%s is %s with %v", j.GetJob().GetName(), j.GetState(), j.GetProgress()))
@@ -338,8 +338,8 @@
 	return strings.Join(list, "; ")
 }
 
-// summarize prints the table and checks the promises on the workers' and the
-// executors' own account.
+// summarize prints the summary and checks the results against the workers' journal
+// and the executors' counts.
 func (e *example) summarize(r *generator.Result, jobs []*pb.JobDescription) error {
 	runs := map[string]uint32{}
 	for _, x := range imitator.Executors(true) {
@@ -349,29 +349,29 @@
 	}
 	doubledRequests := len(generator.Doubled([]*generator.Result{r}, runs, false))
 	done, doubledTasks, evictions := countTasks(e.system.Journal().Entries())
-	wanted := uint32(0)
+	expected := uint32(0)
 	w := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "requests\tserved %d\tnot-run %d\tunknown %d\twrong %d\tof %d\n", r.Served, r.NotRun, r.Unknown, r.Wrong, r.Sent)
 	fmt.Fprintf(w, "latency\tp50 %s\tp99 %s\tp99.9 %s\n", r.Quantile(50), r.Quantile(99), r.Quantile(99.9))
 	for _, j := range jobs {
-		wanted += j.GetJob().GetTasks()
+		expected += j.GetJob().GetTasks()
 		fmt.Fprintf(w, "job %s\t%s\t%d tasks\n", j.GetJob().GetName(), j.GetState(), j.GetJob().GetTasks())
 	}
 	fmt.Fprintf(w, "tasks\tdone %d\tevictions %d\n", done, evictions)
 	fmt.Fprintf(w, "doubled\trequests %d\ttasks %d\n", doubledRequests, doubledTasks)
-	problems := e.flows.summarize(w)
+	problems := e.workflowRun.summarize(w)
 	w.Flush()
-	return verdict(r, problems, doubledRequests, doubledTasks, done, int(wanted))
+	return checkResults(r, problems, doubledRequests, doubledTasks, done, int(expected))
 }
 
-// verdict returns a *BrokenError when a promise was broken, also one of those
-// that were found already.
-func verdict(r *generator.Result, problems []string, doubledRequests, doubledTasks, done, wanted int) error {
+// checkResults returns a *FailedCheckError if a check fails or problems, which
+// earlier checks found, is not empty.
+func checkResults(r *generator.Result, problems []string, doubledRequests, doubledTasks, done, expected int) error {
 	if doubledRequests > 0 || doubledTasks > 0 {
-		problems = append(problems, "something was doubled")
+		problems = append(problems, "a request or a task ran twice")
 	}
-	if done != wanted {
-		problems = append(problems, fmt.Sprintf("%d of %d tasks are done", done, wanted))
+	if done != expected {
+		problems = append(problems, fmt.Sprintf("%d of %d tasks are done", done, expected))
 	}
 	if r.Unknown > 0 {
 		problems = append(problems, fmt.Sprintf("the outcome of %d requests is unknown", r.Unknown))
@@ -383,13 +383,13 @@
 		problems = append(problems, "a request was lost")
 	}
 	if len(problems) > 0 {
-		return &BrokenError{Problems: problems}
+		return &FailedCheckError{Problems: problems}
 	}
 	return nil
 }
 
-// countTasks counts the tasks that ended well, those that ran in two places at
-// once or twice to their end, and evictions.
+// countTasks counts tasks done, starts of tasks that were running or done, and
+// evictions.
 func countTasks(entries []imitator.JournalEntry) (done, doubled, evictions int) {
 	running := map[briarspring.TaskID]bool{}
 	ended := map[briarspring.TaskID]bool{}
--- a/demonstrator/example_workflows.go
+++ b/demonstrator/example_workflows.go
@@ -20,26 +20,28 @@
 const (
 	// poolService is the pool of workers that runs workflows.
 	poolService = "pool"
-	// imageServing is the image of the example's lasting tasks, imagePressing one
-	// that raises their tails, and imageCalm one that does not.
-	imageServing  = "index"
-	imagePressing = "scan"
-	imageCalm     = "fold"
+	// imageServing is the image of the example's long-running tasks,
+	// imageInterfering one that raises their tail latency, and imageHarmless one
+	// that does not.
+	imageServing     = "index"
+	imageInterfering = "scan"
+	imageHarmless    = "fold"
 
-	urgentCount    = 40
-	urgentInterval = 250 * time.Millisecond
-	seasonCount    = 8
-	lastingTasks   = 6
-	gangTasks      = 4
-	// sweepTimes and sweepInterval make up a workflow that recurs.
+	urgentCount      = 40
+	urgentInterval   = 250 * time.Millisecond
+	seasonCount      = 8
+	longRunningTasks = 6
+	gangTasks        = 4
+	// sweepTimes and sweepInterval are the recurrence of the workflow "sweep".
 	sweepTimes    = 3
 	sweepInterval = 2 * time.Second
-	// otherCount is the number of workflows of which there is one each.
-	otherCount = 2
-	tailTarget = 40 * time.Millisecond
-	// workflowCount is the number of workflows that come to an end.
-	workflowCount = urgentCount + seasonCount + otherCount
-	// urgentStretch and urgentAllowance make the objective of urgent workflows.
+	// singleCount is the number of workflows that are submitted once: "gang" and
+	// "sweep".
+	singleCount = 2
+	tailTarget  = 40 * time.Millisecond
+	// workflowCount is the number of workflows that complete.
+	workflowCount = urgentCount + seasonCount + singleCount
+	// urgentStretch and urgentAllowance set the objective of urgent workflows.
 	urgentStretch   = 1.5
 	urgentAllowance = 250 * time.Millisecond
 	seasonStretch   = 2.0
@@ -49,9 +51,9 @@
 
 // Queues of the example.
 const (
-	queueUrgent  = "urgent"
-	queueSeason  = "season"
-	queueLasting = "lasting"
+	queueUrgent      = "urgent"
+	queueSeason      = "season"
+	queueLongRunning = "lasting"
 )
 
 // queues returns the firm's queues.
@@ -60,7 +62,7 @@
 	return []briarspring.Queue{
 		{Name: queueUrgent, Host: host, Prefix: "/urgent/", Service: poolService, MaxAttempts: maxAttempts, Stretch: urgentStretch, Allowance: urgentAllowance},
 		{Name: queueSeason, Host: host, Prefix: "/season/", Service: poolService, Priority: 2, MaxAttempts: maxAttempts, Stretch: seasonStretch, Allowance: seasonAllowance},
-		{Name: queueLasting, Host: host, Prefix: "/lasting/", Service: poolService, MaxAttempts: maxAttempts, Stretch: seasonStretch, Allowance: seasonAllowance},
+		{Name: queueLongRunning, Host: host, Prefix: "/lasting/", Service: poolService, MaxAttempts: maxAttempts, Stretch: seasonStretch, Allowance: seasonAllowance},
 	}
 }
 
@@ -71,31 +73,31 @@
 	}
 }
 
-// urgentSteps are two steps that follow each other.
+// urgentSteps returns two steps, the second of which depends on the first.
 func urgentSteps() []briarspring.Step {
 	return []briarspring.Step{exampleStep(3, 1000, 500*time.Millisecond), exampleStep(1, 1000, 300*time.Millisecond, 0)}
 }
 
-// seasonSteps fill processors that others leave idle; one image in two presses
-// the lasting tasks.
+// seasonSteps returns two best-effort steps. In every other workflow, the first
+// step interferes with the long-running tasks.
 func seasonSteps(number int) []briarspring.Step {
 	first := exampleStep(6, 2000, 1200*time.Millisecond)
-	first.Fills, first.Checkpoints, first.Image = true, true, imageCalm
+	first.Fills, first.Checkpoints, first.Image = true, true, imageHarmless
 	if number%2 == 0 {
-		first.Image = imagePressing
+		first.Image = imageInterfering
 	}
 	second := exampleStep(2, 1000, 600*time.Millisecond, 0)
-	second.Fills, second.Image = true, imageCalm
+	second.Fills, second.Image = true, imageHarmless
 	return []briarspring.Step{first, second}
 }
 
-func lastingSteps() []briarspring.Step {
-	s := exampleStep(lastingTasks, 3000, 0)
+func longRunningSteps() []briarspring.Step {
+	s := exampleStep(longRunningTasks, 3000, 0)
 	s.Lasting, s.Image, s.TailTarget, s.MaxPerWorker = true, imageServing, tailTarget, 2
 	return []briarspring.Step{s}
 }
 
-// gangSteps is a gang that works best on one rack.
+// gangSteps returns a gang that should run on one rack.
 func gangSteps() []briarspring.Step {
 	s := exampleStep(gangTasks, 1000, 900*time.Millisecond)
 	s.Gang, s.OneRack = true, true
@@ -111,7 +113,7 @@
 	submitted []string
 	urgent    []string
 	accepted  map[string]time.Time
-	completed map[string]time.Duration // Time from the submission, as a caller sees it.
+	completed map[string]time.Duration // Time since the submission, as a caller sees it.
 	failures  []string
 }
 
@@ -122,9 +124,9 @@
 	}
 }
 
-// up waits until every data centre has an owner.
-func (r *workflowRun) up(ctx context.Context) error {
-	return until(ctx, upLimit, "owners of all data centres", func() bool {
+// waitForOwners waits until every data centre has an owner and workers.
+func (r *workflowRun) waitForOwners(ctx context.Context) error {
+	return waitUntil(ctx, startupTimeout, "owners of all data centres", func() bool {
 		m, err := r.client.ListOwners(ctx, connect.NewRequest(&pb.ListOwnersRequest{}))
 		if err != nil {
 			return false
@@ -138,20 +140,20 @@
 	})
 }
 
-// submit hands a workflow in that runs at once.
+// submit submits a workflow that runs at once.
 func (r *workflowRun) submit(ctx context.Context, id, queue string, steps []briarspring.Step) {
 	r.submitRecurring(ctx, id, queue, steps, briarspring.Recurrence{})
 }
 
-// submitRecurring hands a workflow in; a refusal or a lost answer is a failure
-// here.
-func (r *workflowRun) submitRecurring(ctx context.Context, id, queue string, steps []briarspring.Step, times briarspring.Recurrence) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// submitRecurring submits a workflow. A refusal or a lost answer counts as a
+// failure of the example.
+func (r *workflowRun) submitRecurring(ctx context.Context, id, queue string, steps []briarspring.Step, recurrence briarspring.Recurrence) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	began := time.Now()
+	submittedAt := time.Now()
 	_, err := r.client.SubmitWorkflow(ctx, connect.NewRequest(&pb.SubmitWorkflowRequest{
 		Id: id, Queue: queue, Specification: id, Steps: encoder.EncodeSteps(steps),
-		Recurrence: encoder.EncodeRecurrence(times),
+		Recurrence: encoder.EncodeRecurrence(recurrence),
 	}))
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,17 +161,18 @@
 		r.failures = append(r.failures, fmt.Sprintf("%s was not accepted: %v", id, err))
 		return
 	}
-	r.accepted[id] = began
+	r.accepted[id] = submittedAt
 	r.submitted = append(r.submitted, id)
 	if queue == queueUrgent {
 		r.urgent = append(r.urgent, id)
 	}
 }
 
-// load submits lasting tasks, then season work, and urgent workflows one after
-// the other.
-func (r *workflowRun) load(ctx context.Context) {
-	r.submit(ctx, "index", queueLasting, lastingSteps())
+// submitAll submits the long-running workflow, the gang and the recurring
+// workflow, then an urgent workflow every urgentInterval with season workflows
+// evenly in between.
+func (r *workflowRun) submitAll(ctx context.Context) {
+	r.submit(ctx, "index", queueLongRunning, longRunningSteps())
 	r.submit(ctx, "gang", queueSeason, gangSteps())
 	r.submitRecurring(ctx, "sweep", queueSeason, urgentSteps(), briarspring.Recurrence{
 		Times: sweepTimes, First: time.Now().Add(sweepInterval), Interval: sweepInterval,
@@ -189,10 +192,10 @@
 	}
 }
 
-// watch notes when workflows are completed until all are, but for the lasting
-// one.
-func (r *workflowRun) watch(ctx context.Context) error {
-	err := until(ctx, jobsLimit, "the end of all workflows", func() bool {
+// waitForCompletion records the time at which each workflow completes, until all
+// but the long-running one have.
+func (r *workflowRun) waitForCompletion(ctx context.Context) error {
+	err := waitUntil(ctx, jobsTimeout, "the end of all workflows", func() bool {
 		m, err := r.client.ListWorkflows(ctx, connect.NewRequest(&pb.ListWorkflowsRequest{Phase: briarspring.PhaseCompleted.String()}))
 		if err != nil {
 			return false
@@ -207,54 +210,55 @@
 		return len(r.completed)+len(r.failures) >= workflowCount
 	})
 	if err != nil && ctx.Err() == nil {
-		return fmt.Errorf("%w: %s", err, r.unfinished(ctx))
+		return fmt.Errorf("%w: %s", err, r.describeUnfinished(ctx))
 	}
 	return err
 }
 
-// unfinished tells how far the workflows are that are not completed.
-func (r *workflowRun) unfinished(ctx context.Context) string {
+// describeUnfinished describes the workflows that have not completed, for an error
+// message.
+func (r *workflowRun) describeUnfinished(ctx context.Context) string {
 	m, err := r.client.ListWorkflows(ctx, connect.NewRequest(&pb.ListWorkflowsRequest{}))
 	if err != nil {
 		return err.Error()
 	}
 	var list []string
 	for _, w := range m.Msg.GetWorkflows() {
-		if w.GetPhase() != briarspring.PhaseCompleted.String() && w.GetQueue() != queueLasting {
+		if w.GetPhase() != briarspring.PhaseCompleted.String() && w.GetQueue() != queueLongRunning {
 			list = append(list, fmt.Sprintf("%s is %s in %v", w.GetId(), w.GetPhase(), w.GetTasksIn()))
 		}
 	}
 	return strings.Join(list, ", ")
 }
 
-// atWork counts the lasting tasks that run.
-func (r *workflowRun) atWork() int {
+// liveLongRunningTasks returns the number of live runs of long-running tasks.
+func (r *workflowRun) liveLongRunningTasks() int {
 	n := 0
-	for i := range lastingTasks {
+	for i := range longRunningTasks {
 		n += r.system.pool.Running(briarspring.TaskRef{Workflow: "index", Index: i})
 	}
 	return n
 }
 
-// summarize prints what became of the workflows and returns what was broken.
+// summarize prints the results of the workflows and returns the problems found.
 func (r *workflowRun) summarize(out io.Writer) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	late := 0
 	for _, id := range r.urgent {
-		if took := r.completed[id]; took == 0 || took > urgentObjective() {
+		if duration := r.completed[id]; duration == 0 || duration > urgentObjective() {
 			late++
 		}
 	}
-	broken := r.system.pool.Broken()
+	violations := r.system.pool.Broken()
 	fmt.Fprintf(out, "workflows\taccepted %d\tcompleted %d\turgent late %d of %d\tstarts %d\tdoubled or overcommitted %d\n",
-		len(r.submitted), len(r.completed), late, len(r.urgent), r.system.pool.Starts(), len(broken))
-	account := r.system.pool.Account()
-	fmt.Fprintf(out, "lasting tasks\tat work %d of %d\ttails over target %d of %d\tchanges of pace %d\n",
-		r.atWork(), lastingTasks, account.TailsOverTarget, account.TailReports, account.Paces)
-	problems := append(broken, r.failures...)
-	if r.atWork() != lastingTasks {
-		problems = append(problems, fmt.Sprintf("%d of %d lasting tasks are at work", r.atWork(), lastingTasks))
+		len(r.submitted), len(r.completed), late, len(r.urgent), r.system.pool.Starts(), len(violations))
+	counts := r.system.pool.Account()
+	fmt.Fprintf(out, "long-running tasks\trunning %d of %d\ttails over target %d of %d\tpace changes %d\n",
+		r.liveLongRunningTasks(), longRunningTasks, counts.TailsOverTarget, counts.TailReports, counts.Paces)
+	problems := append(violations, r.failures...)
+	if r.liveLongRunningTasks() != longRunningTasks {
+		problems = append(problems, fmt.Sprintf("%d of %d long-running tasks are running", r.liveLongRunningTasks(), longRunningTasks))
 	}
 	if len(r.completed) != workflowCount {
 		problems = append(problems, fmt.Sprintf("%d of %d workflows completed", len(r.completed), workflowCount))
@@ -262,7 +266,8 @@
 	return problems
 }
 
-// urgentObjective is the time within which an urgent workflow should complete.
+// urgentObjective returns the time within which an urgent workflow should
+// complete.
 func urgentObjective() time.Duration {
 	w := briarspring.Workflow{Steps: urgentSteps(), Stretch: urgentStretch, Allowance: urgentAllowance}
 	return w.Objective()
--- a/demonstrator/workflows.go
+++ b/demonstrator/workflows.go
@@ -19,32 +19,33 @@
 const (
 	storeLatency = 5 * time.Millisecond
 	orderLatency = time.Millisecond
-	poolLease    = 6 * time.Second // The longest that the stand-in's workers grant.
+	poolLease    = 6 * time.Second // Longest lease that the stand-in's workers grant.
 	hostMilliCPU = 500
 	hostStop     = 3 * time.Second
 	keepFinal    = 2 * time.Minute
-	// pressRise is the rise of a tail for each core of the image that presses.
-	pressRise = 0.45
+	// interferenceRise is the rise of the tail latency for each core of
+	// imageInterfering, as a fraction of the target.
+	interferenceRise = 0.45
 )
 
-// workflows is the part of a system that runs workflows: hosts that meet in
-// keyed streams, and workers of their own.
+// workflows is the part of a system that runs workflows: hosts that coordinate
+// through keyed streams, and their own pool of workers.
 type workflows struct {
-	store   *imitator.KeyedStore
-	pool    *imitator.Pool
-	listing *imitator.Listing
-	logger  hclog.Logger
-	hosts   []*launcher.Launcher
-	intakes []*admitter.Admitter
+	store     *imitator.KeyedStore
+	pool      *imitator.Pool
+	listing   *imitator.Listing
+	logger    hclog.Logger
+	hosts     []*launcher.Launcher
+	admitters []*admitter.Admitter
 }
 
 // newWorkflows builds the hosts of all data centres.
-func newWorkflows(c Config, places []*Place) (*workflows, error) {
+func newWorkflows(c Config, dataCentres []*DataCentre) (*workflows, error) {
 	s := &workflows{
 		store:  imitator.NewKeyedStore(1),
 		logger: hclog.New(&hclog.LoggerOptions{Name: "workflows", Level: hclog.LevelFromString(c.LogLevel), Output: c.Logs}),
 	}
-	s.pool = imitator.NewPool(imitator.PoolConfig{Seed: 1, Latency: orderLatency, Plan: s.plan, Spec: s.spec, Interference: s.press})
+	s.pool = imitator.NewPool(imitator.PoolConfig{Seed: 1, Latency: orderLatency, Plan: s.planRun, Spec: s.findStep, Interference: s.interference})
 	s.store.SetFaults(imitator.KeyedFaults{Latency: storeLatency})
 	s.listing = imitator.NewListing(imitator.ListingConfig{Pool: s.pool, Store: s.store, Logger: s.logger})
 	directory, err := imitator.DirectoryRecord(briarspring.Directory{Version: 1, Queues: c.Firm.queues()})
@@ -52,7 +53,7 @@
 		return nil, err
 	}
 	s.store.Put(briarspring.DirectoryStream, directory)
-	for _, p := range places {
+	for _, p := range dataCentres {
 		for i := range c.Workers {
 			s.pool.Add(poolWorker(p.Name, i))
 		}
@@ -75,29 +76,30 @@
 	}
 }
 
-func (s *workflows) addHost(c Config, p *Place, number int) error {
+func (s *workflows) addHost(c Config, p *DataCentre, number int) error {
 	address, err := FreeAddress()
 	if err != nil {
 		return err
 	}
 	p.Hosts = append(p.Hosts, address)
 	name := fmt.Sprintf("%s-host%d", p.Name, number)
-	began := time.Now()
-	l, intake := assembler.NewCore(assembler.HostConfig{
+	startedAt := time.Now()
+	l, hostAdmitter := assembler.NewCore(assembler.HostConfig{
 		Host: name, DataCentre: p.Name, DataCentres: c.Firm.DataCentres, MilliCPU: hostMilliCPU, MaxLease: poolLease,
 		StopTime: hostStop, KeepFinal: keepFinal, OperatorsAddr: address,
 		Store: s.store.For(name), Workers: s.pool.For(name), Decoder: imitator.Decoder{},
-		Now: func() time.Duration { return time.Since(began) }, Logger: s.logger.Named(name),
+		Now: func() time.Duration { return time.Since(startedAt) }, Logger: s.logger.Named(name),
 	})
 	s.hosts = append(s.hosts, l)
-	s.intakes = append(s.intakes, intake)
+	s.admitters = append(s.admitters, hostAdmitter)
 	return nil
 }
 
-// spec returns the step of a task, as the first host knows it that does.
-func (s *workflows) spec(t briarspring.TaskRef) (w *briarspring.Workflow, step *briarspring.Step) {
-	for _, intake := range s.intakes {
-		intake.View(func(r *registrar.Registry) {
+// findStep returns the workflow and step of a task from the first host that knows
+// the workflow.
+func (s *workflows) findStep(t briarspring.TaskRef) (w *briarspring.Workflow, step *briarspring.Step) {
+	for _, a := range s.admitters {
+		a.View(func(r *registrar.Registry) {
 			if e := r.Workflow(t.Workflow); e != nil {
 				w = e.Workflow()
 				step = &w.Steps[t.Step]
@@ -110,29 +112,31 @@
 	return nil, nil
 }
 
-// plan has runs take as long as their step declares.
-func (s *workflows) plan(r briarspring.RunRef) (time.Duration, briarspring.RunEnd) {
-	_, step := s.spec(r.Task)
+// planRun makes runs take as long as their step declares.
+func (s *workflows) planRun(r briarspring.RunRef) (time.Duration, briarspring.RunEnd) {
+	_, step := s.findStep(r.Task)
 	if step == nil || step.Lasting {
 		return 0, briarspring.RunDone
 	}
 	return step.Estimate, briarspring.RunDone
 }
 
-// press returns how much an image really presses another one.
-func (s *workflows) press(serving, filling string) float64 {
-	if serving == imageServing && filling == imagePressing {
-		return pressRise
+// interference returns by how much one core of a best-effort image raises the tail
+// latency of a serving image, as a fraction of the latter's target.
+func (s *workflows) interference(serving, bestEffort string) float64 {
+	if serving == imageServing && bestEffort == imageInterfering {
+		return interferenceRise
 	}
 	return 0
 }
 
-// setOut takes a data centre out of service, or brings it back.
+// setOut takes a data centre out of service or returns it.
 func (s *workflows) setOut(dataCentre string, out bool) {
 	s.store.Put(briarspring.DirectoryStream, imitator.OutRecord(dataCentre, out))
 }
 
-// run works until the context ends.
+// run runs the hosts until the context ends, and the listing until they have
+// stopped.
 func (s *workflows) run(ctx context.Context) {
 	var parts sync.WaitGroup
 	listingCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
--- a/replayer/trace.go
+++ b/replayer/trace.go
@@ -73,7 +73,7 @@
 	Measure string   `json:"measure"`
 	AtMost  *float64 `json:"at-most,omitempty"`
 	AtLeast *float64 `json:"at-least,omitempty"`
-	Source  string   `json:"source"` // The promise or target that the bound comes from.
+	Source  string   `json:"source"` // Guarantee or target that the bound comes from.
 }
 
 // TraceError reports a trace file that can't be read or is not valid.
