--- a/admitter/admitter.go
+++ b/admitter/admitter.go
@@ -28,14 +28,14 @@
 // Catalogue is the operators' configuration.
 type Catalogue interface {
 	Directory() (briarspring.Directory, bool)
-	Out(dataCentre string) bool
+	OutOfService(dataCentre string) bool
 }
 
 // Freshness is the age of the local state of a followed stream.
 type Freshness interface {
-	// Fresh returns the send time of the last successful read, or false if there
-	// was none.
-	Fresh() (time.Duration, bool)
+	// LastReadSent returns the send time of the last successful read, or false
+	// if there was none.
+	LastReadSent() (time.Duration, bool)
 	// Age returns the time since that read was sent.
 	Age() (time.Duration, bool)
 }
@@ -162,15 +162,15 @@
 // read yet.
 func (a *Admitter) Directory() (briarspring.Directory, bool) { return a.config.Catalogue.Directory() }
 
-// DataCentres returns the data centres as known to this host.
-func (a *Admitter) DataCentres() []balancer.Option { return a.options() }
+// DataCentreOptions returns the data centres as known to this host.
+func (a *Admitter) DataCentreOptions() []balancer.Option { return a.options() }
 
-// View calls f with the shared state, which f must not retain.
-func (a *Admitter) View(f func(*registrar.Registry)) { a.config.Replica.View(f) }
+// ReadRegistry calls f with the shared state, which f must not retain.
+func (a *Admitter) ReadRegistry(f func(*registrar.Registry)) { a.config.Replica.View(f) }
 
 // Submit accepts a workflow. It returns nil if the workflow is stored, by this call
 // or an earlier one, a *RefusedError if it won't run, and a
-// *briarspring.DoubtError if it may run.
+// *briarspring.NoAnswerError if it may run.
 func (a *Admitter) Submit(ctx context.Context, q briarspring.Queue, w *briarspring.Workflow) error {
 	start := time.Now()
 	err := a.submit(ctx, q, w)
@@ -208,12 +208,12 @@
 		a.config.Logger.Info("submission refused", "workflow", w.ID, "queue", q.Name, "state-age-ms", age.Milliseconds(), "error", err)
 		return err
 	}
-	value, err := encoder.Submission(w)
+	value, err := encoder.EncodeSubmission(w)
 	if err != nil {
 		return &RefusedError{Reason: err.Error()}
 	}
 	err = a.store(ctx, w.ID, func() briarspring.KeyedRecord {
-		return briarspring.KeyedRecord{Key: registrar.SubmissionKey(w.ID, registrar.NewTry()), Value: value}
+		return briarspring.KeyedRecord{Key: registrar.SubmissionKey(w.ID, registrar.NewAttemptID()), Value: value}
 	})
 	age, _ := a.config.Reading.Age()
 	a.config.Logger.Info("submission", "workflow", w.ID, "queue", q.Name, "data-centre", w.DataCentre, "tasks", w.TaskCount(),
@@ -242,7 +242,7 @@
 // admit returns a *RefusedError if the workflow can't be accepted.
 func (a *Admitter) admit(q briarspring.Queue, w *briarspring.Workflow) error {
 	switch {
-	case q.Advised:
+	case q.ExternallyAdvised:
 		return &RefusedError{Reason: "queues with an advisory service are not supported"}
 	case len(w.Steps) == 0:
 		return &RefusedError{Reason: "the workflow has no steps"}
@@ -258,26 +258,26 @@
 // attempt without a definite answer, the workflow appears in the shared state. Each
 // attempt calls record again.
 func (a *Admitter) store(ctx context.Context, id briarspring.WorkflowID, record func() briarspring.KeyedRecord) error {
-	doubt := false
+	unknown := false
 	known := a.isKnown(id)
 	for {
 		err := a.config.Shared.Write(ctx, record())
 		if err == nil {
 			return nil
 		}
-		var refused *briarspring.NotDoneError
-		doubt = doubt || !errors.As(err, &refused)
-		if doubt && !known && a.isKnown(id) {
+		var refused *briarspring.NotExecutedError
+		unknown = unknown || !errors.As(err, &refused)
+		if unknown && !known && a.isKnown(id) {
 			return nil
 		}
-		if !doubt && !a.Reachable() {
+		if !unknown && !a.Reachable() {
 			return &RefusedError{Reason: "the log is out of reach", RetryAfter: a.retryAfter()}
 		}
 		if sleeper.For(ctx, retryPause) == nil {
 			continue
 		}
-		if doubt {
-			return &briarspring.DoubtError{Call: "store a decision on " + string(id), Cause: err}
+		if unknown {
+			return &briarspring.NoAnswerError{Call: "store a decision on " + string(id), Cause: err}
 		}
 		return &RefusedError{Reason: refused.Reason, RetryAfter: a.retryAfter()}
 	}
@@ -313,7 +313,7 @@
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	for a.Reachable() {
-		if fresh, ok := a.config.Reading.Fresh(); ok && fresh >= start {
+		if fresh, ok := a.config.Reading.LastReadSent(); ok && fresh >= start {
 			return nil
 		}
 		if sleeper.For(ctx, catchUpInterval) != nil {
@@ -324,7 +324,7 @@
 }
 
 // Cancel cancels a workflow; known is false if it doesn't exist. The error is a
-// *RefusedError or a *briarspring.DoubtError.
+// *RefusedError or a *briarspring.NoAnswerError.
 func (a *Admitter) Cancel(ctx context.Context, id briarspring.WorkflowID) (known bool, err error) {
 	phase, known, err := a.Phase(ctx, id)
 	if err != nil || !known || phase.Final() {
@@ -339,8 +339,9 @@
 	return true, err
 }
 
-// Waiting returns the number of a queue's workflows without a started task.
-func (a *Admitter) Waiting(q briarspring.Queue) int {
+// UnstartedWorkflows returns the number of a queue's workflows without a
+// started task.
+func (a *Admitter) UnstartedWorkflows(q briarspring.Queue) int {
 	n := 0
 	a.config.Replica.View(func(r *registrar.Registry) { n = r.Waiting(q.Name) })
 	return n
--- a/appender/appender.go
+++ b/appender/appender.go
@@ -59,23 +59,23 @@
 func (a *Appender) Done() <-chan struct{} { return a.done }
 
 // Write appends records and waits for the result. The error is a
-// *briarspring.NotDoneError when certainly nothing was written.
+// *briarspring.NotExecutedError when certainly nothing was written.
 func (a *Appender) Write(ctx context.Context, records ...briarspring.KeyedRecord) error {
 	w := writeRequest{records: records, result: make(chan error, 1)}
 	select {
 	case a.queue <- w:
 	case <-ctx.Done():
-		return &briarspring.NotDoneError{Call: "append to " + a.config.Stream, Reason: "the queue is full"}
+		return &briarspring.NotExecutedError{Call: "append to " + a.config.Stream, Reason: "the queue is full"}
 	case <-a.done:
-		return &briarspring.NotDoneError{Call: "append to " + a.config.Stream, Reason: "the process stops"}
+		return &briarspring.NotExecutedError{Call: "append to " + a.config.Stream, Reason: "the process stops"}
 	}
 	select {
 	case err := <-w.result:
 		return err
 	case <-ctx.Done():
-		return &briarspring.DoubtError{Call: "append to " + a.config.Stream, Cause: ctx.Err()}
+		return &briarspring.NoAnswerError{Call: "append to " + a.config.Stream, Cause: ctx.Err()}
 	case <-a.done:
-		return &briarspring.DoubtError{Call: "append to " + a.config.Stream, Cause: context.Canceled}
+		return &briarspring.NoAnswerError{Call: "append to " + a.config.Stream, Cause: context.Canceled}
 	}
 }
 
--- a/applier/config_test.go
+++ b/applier/config_test.go
@@ -128,7 +128,7 @@
 		}
 		seen := map[uint32]string{}
 		for _, name := range []string{"tartu", "viljandi", "voru"} {
-			holding := w.Holds(name)
+			holding := w.AssignedTo(name)
 			for i := range n {
 				if _, held := holding.Has(i); held {
 					assert.Empty(t, seen[i], "seed %d: task %d is held twice", seed, i)
@@ -170,7 +170,7 @@
 	var held []uint32
 	for i := range uint32(10) {
 		for _, name := range []string{"tartu", "viljandi", "voru"} {
-			if _, ok := w.Holds(name).Has(i); ok {
+			if _, ok := w.AssignedTo(name).Has(i); ok {
 				held = append(held, i)
 			}
 		}
--- a/applier/event.go
+++ b/applier/event.go
@@ -147,7 +147,7 @@
 	}
 	l := p.loads[e.Workload]
 	if l == nil {
-		l = &Load{
+		l = &AdoptedWorkload{
 			id: e.Workload, resources: e.Resources, service: e.Service, maxTries: e.MaxTries,
 			tasks: map[uint32]*Task{}, waiting: map[uint32]struct{}{},
 		}
@@ -164,15 +164,15 @@
 	return nil
 }
 
-func (l *Load) adoptTask(s briarspring.TaskState) {
-	t := l.tasks[s.Index]
+func (aw *AdoptedWorkload) adoptTask(s briarspring.TaskState) {
+	t := aw.tasks[s.Index]
 	if t == nil {
 		if s.Attempt == 0 && s.Checkpoint == 0 {
-			l.fresh.add(s.Index, s.Index+1)
+			aw.fresh.add(s.Index, s.Index+1)
 			return
 		}
 		t = &Task{index: s.Index}
-		l.tasks[s.Index] = t
+		aw.tasks[s.Index] = t
 	}
 	if t.phase == PhaseFailed {
 		return
@@ -183,20 +183,20 @@
 		return
 	}
 	t.checkpoint = s.Checkpoint
-	l.requeue(t)
+	aw.requeue(t)
 }
 
 // requeue makes a task requeue for an attempt again.
-func (l *Load) requeue(t *Task) {
+func (aw *AdoptedWorkload) requeue(t *Task) {
 	if t.phase == PhaseReleased {
-		l.released--
+		aw.released--
 	}
 	t.phase = PhaseWaiting
 	t.worker = 0
 	t.address = ""
 	t.evicting = false
 	t.releasedTo = ""
-	l.waiting[t.index] = struct{}{}
+	aw.waiting[t.index] = struct{}{}
 }
 
 func (p *Placement) applyStart(e briarspring.Start) error {
@@ -271,7 +271,7 @@
 
 // closeAttempt releases the resources of a task's open attempt and sets the
 // task's next phase, or removes the task.
-func (p *Placement) closeAttempt(l *Load, t *Task, reason briarspring.EndReason, checkpoint uint64) {
+func (p *Placement) closeAttempt(l *AdoptedWorkload, t *Task, reason briarspring.EndReason, checkpoint uint64) {
 	id := briarspring.TaskID{Workload: l.id, Index: t.index}
 	w := p.Worker(t.worker)
 	w.committed = w.committed.Sub(l.resources)
@@ -327,9 +327,9 @@
 }
 
 // isWaiting reports whether a task isWaiting for an attempt.
-func (l *Load) isWaiting(index uint32) bool {
-	_, waits := l.waiting[index]
-	return waits || l.fresh.find(index) >= 0
+func (aw *AdoptedWorkload) isWaiting(index uint32) bool {
+	_, waits := aw.waiting[index]
+	return waits || aw.fresh.find(index) >= 0
 }
 
 func (p *Placement) applyCancel(e briarspring.Cancel) error {
--- a/applier/placement.go
+++ b/applier/placement.go
@@ -115,9 +115,9 @@
 // Gone reports whether the worker is unusable until it joins again.
 func (w *Worker) Gone() bool { return w.gone }
 
-// Declared returns the offset of the last handled command that declared the
-// worker lost.
-func (w *Worker) Declared() uint64 { return w.declaredLostAt }
+// DeclaredLostAt returns the offset of the last handled command that declared
+// the worker lost.
+func (w *Worker) DeclaredLostAt() uint64 { return w.declaredLostAt }
 
 // Len returns the number of open attempts.
 func (w *Worker) Len() int { return len(w.tasks) }
@@ -132,8 +132,8 @@
 	return ids
 }
 
-// Load is the part of a workload that is adopted by a data centre.
-type Load struct {
+// AdoptedWorkload is the part of a workload that is adopted by a data centre.
+type AdoptedWorkload struct {
 	id        briarspring.WorkloadID
 	offset    uint64
 	resources briarspring.Resources
@@ -150,66 +150,66 @@
 }
 
 // ID returns the workload's id.
-func (l *Load) ID() briarspring.WorkloadID { return l.id }
+func (aw *AdoptedWorkload) ID() briarspring.WorkloadID { return aw.id }
 
 // Offset returns the offset of the last configuration record that was adopted.
-func (l *Load) Offset() uint64 { return l.offset }
+func (aw *AdoptedWorkload) Offset() uint64 { return aw.offset }
 
 // Resources returns the resource needs of one task.
-func (l *Load) Resources() briarspring.Resources { return l.resources }
+func (aw *AdoptedWorkload) Resources() briarspring.Resources { return aw.resources }
 
 // Service reports whether the tasks are executors of a service.
-func (l *Load) Service() bool { return l.service }
+func (aw *AdoptedWorkload) Service() bool { return aw.service }
 
 // Waiting returns the number of tasks that wait for an attempt.
-func (l *Load) Waiting() uint32 { return l.fresh.count() + uint32(len(l.waiting)) }
+func (aw *AdoptedWorkload) Waiting() uint32 { return aw.fresh.count() + uint32(len(aw.waiting)) }
 
 // Placed returns the number of open attempts.
-func (l *Load) Placed() uint32 { return l.placed }
+func (aw *AdoptedWorkload) Placed() uint32 { return aw.placed }
 
 // Released returns the number of tasks that wait for their transfer.
-func (l *Load) Released() uint32 { return l.released }
+func (aw *AdoptedWorkload) Released() uint32 { return aw.released }
 
 // Evictions returns how many attempts ended by eviction.
-func (l *Load) Evictions() uint32 { return l.evictions }
+func (aw *AdoptedWorkload) Evictions() uint32 { return aw.evictions }
 
 // Progress returns the counts that the data centre publishes.
-func (l *Load) Progress() briarspring.Progress {
+func (aw *AdoptedWorkload) Progress() briarspring.Progress {
 	return briarspring.Progress{
-		Workload: l.id, Running: l.placed, Done: l.done, Failed: l.failed, Evictions: l.evictions,
+		Workload: aw.id, Running: aw.placed, Done: aw.done, Failed: aw.failed, Evictions: aw.evictions,
 	}
 }
 
 // Task returns a task that is not fresh, or nil.
-func (l *Load) Task(index uint32) *Task { return l.tasks[index] }
+func (aw *AdoptedWorkload) Task(index uint32) *Task { return aw.tasks[index] }
 
 // Tasks returns all tasks that are not fresh and not done, sorted by index.
-func (l *Load) Tasks() []*Task {
-	tasks := make([]*Task, 0, len(l.tasks))
-	for _, i := range sortedKeys(l.tasks) {
-		tasks = append(tasks, l.tasks[i])
+func (aw *AdoptedWorkload) Tasks() []*Task {
+	tasks := make([]*Task, 0, len(aw.tasks))
+	for _, i := range sortedKeys(aw.tasks) {
+		tasks = append(tasks, aw.tasks[i])
 	}
 	return tasks
 }
 
-// Fresh returns the spans of tasks that were never started.
-func (l *Load) Fresh() []Span { return l.fresh }
+// UnstartedSpans returns the spans of tasks that were never started.
+func (aw *AdoptedWorkload) UnstartedSpans() []Span { return aw.fresh }
 
 // IsFresh reports whether the task waits and was never started.
-func (l *Load) IsFresh(index uint32) bool { return l.fresh.find(index) >= 0 }
+func (aw *AdoptedWorkload) IsFresh(index uint32) bool { return aw.fresh.find(index) >= 0 }
 
 // NextWaiting returns up to n waiting tasks: first those that ran before, then
 // fresh ones, each sorted by index.
-func (l *Load) NextWaiting(n int) []briarspring.TaskState {
+func (aw *AdoptedWorkload) NextWaiting(n int) []briarspring.TaskState {
 	var out []briarspring.TaskState
-	for _, i := range sortedKeys(l.waiting) {
+	for _, i := range sortedKeys(aw.waiting) {
 		if len(out) == n {
 			return out
 		}
-		t := l.tasks[i]
+		t := aw.tasks[i]
 		out = append(out, briarspring.TaskState{Index: i, Attempt: t.attempt, Checkpoint: t.checkpoint})
 	}
-	for _, sp := range l.fresh {
+	for _, sp := range aw.fresh {
 		for i := sp.First; i < sp.End; i++ {
 			if len(out) == n {
 				return out
@@ -230,7 +230,7 @@
 	minSeen  uint64 // Configuration offset up to which a writer must have read to adopt tasks.
 	workers  []*Worker
 	byName   map[string]*Worker
-	loads    map[briarspring.WorkloadID]*Load
+	loads    map[briarspring.WorkloadID]*AdoptedWorkload
 	counts   Counts
 }
 
@@ -247,7 +247,7 @@
 	return &Placement{
 		writers: writers{},
 		byName:  map[string]*Worker{},
-		loads:   map[briarspring.WorkloadID]*Load{},
+		loads:   map[briarspring.WorkloadID]*AdoptedWorkload{},
 	}
 }
 
@@ -286,11 +286,11 @@
 // WorkerByName returns the worker with the given name, or nil.
 func (p *Placement) WorkerByName(name string) *Worker { return p.byName[name] }
 
-// Load returns the adopted part of a workload, or nil.
-func (p *Placement) Load(id briarspring.WorkloadID) *Load { return p.loads[id] }
+// Workload returns the adopted part of a workload, or nil.
+func (p *Placement) Workload(id briarspring.WorkloadID) *AdoptedWorkload { return p.loads[id] }
 
-// Loads returns the sorted ids of all adopted workloads.
-func (p *Placement) Loads() []briarspring.WorkloadID { return sortedKeys(p.loads) }
+// Workloads returns the sorted ids of all adopted workloads.
+func (p *Placement) Workloads() []briarspring.WorkloadID { return sortedKeys(p.loads) }
 
 // Task returns a task that is not fresh, or nil.
 func (p *Placement) Task(id briarspring.TaskID) *Task {
--- a/applier/placement_test.go
+++ b/applier/placement_test.go
@@ -87,8 +87,8 @@
 	p, err := applier.RestorePlacement(snapshot)
 	require.NoError(t, err)
 	out := map[briarspring.WorkloadID]briarspring.Progress{}
-	for _, id := range p.Loads() {
-		out[id] = p.Load(id).Progress()
+	for _, id := range p.Workloads() {
+		out[id] = p.Workload(id).Progress()
 	}
 	return out
 }
@@ -191,14 +191,14 @@
 	t.Run("evicted resumes from its checkpoint", func(t *testing.T) {
 		s := newStream(t)
 		s.ok(owner, 1, start(0, 1, 1), end(0, 1, briarspring.EndEvicted, 55))
-		next := s.placement.Load(testWorkload).NextWaiting(1)
+		next := s.placement.Workload(testWorkload).NextWaiting(1)
 		assert.Equal(t, []briarspring.TaskState{{Index: 0, Attempt: 1, Checkpoint: 55}}, next)
 	})
 	t.Run("failing uses up the tries", func(t *testing.T) {
 		s := newStream(t)
 		s.ok(owner, 1, start(0, 1, 1), end(0, 1, briarspring.EndFailed, 0))
 		s.ok(owner, 1, start(0, 2, 1), end(0, 2, briarspring.EndFailed, 0))
-		assert.Equal(t, applier.PhaseFailed, s.placement.Load(testWorkload).Task(0).Phase())
+		assert.Equal(t, applier.PhaseFailed, s.placement.Workload(testWorkload).Task(0).Phase())
 		s.void(owner, 1, start(0, 3, 1), "failed")
 	})
 	t.Run("a restarted worker has lost its tasks", func(t *testing.T) {
@@ -212,10 +212,10 @@
 	t.Run("a cancelled task ends with its attempt", func(t *testing.T) {
 		s := newStream(t)
 		s.ok(owner, 1, start(0, 1, 1), briarspring.Cancel{Workload: testWorkload, End: 99})
-		assert.Zero(t, s.placement.Load(testWorkload).Waiting())
+		assert.Zero(t, s.placement.Workload(testWorkload).Waiting())
 		s.ok(owner, 1, end(0, 1, briarspring.EndEvicted, 9))
 		s.ok(owner, 1, briarspring.Forget{Workload: testWorkload, Seen: 11})
-		assert.Nil(t, s.placement.Load(testWorkload))
+		assert.Nil(t, s.placement.Workload(testWorkload))
 	})
 }
 
@@ -231,7 +231,7 @@
 	again, err := restored.Snapshot()
 	require.NoError(t, err)
 	assert.Equal(t, data, again)
-	assert.Equal(t, s.placement.Load(testWorkload).NextWaiting(20), restored.Load(testWorkload).NextWaiting(20))
+	assert.Equal(t, s.placement.Workload(testWorkload).NextWaiting(20), restored.Workload(testWorkload).NextWaiting(20))
 	assert.Equal(t, s.placement.Worker(1).Committed(), restored.Worker(1).Committed())
-	assert.EqualValues(t, 2, restored.Load(testWorkload).Released())
+	assert.EqualValues(t, 2, restored.Workload(testWorkload).Released())
 }
--- a/applier/snapshot_config.go
+++ b/applier/snapshot_config.go
@@ -94,20 +94,20 @@
 func RestoreConfig(data []byte) (*Config, error) {
 	var m pb.ConfigSnapshot
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return nil, &encoder.MalformedError{What: "configuration snapshot", Cause: err}
+		return nil, &encoder.MalformedError{Input: "configuration snapshot", Cause: err}
 	}
 	c := NewConfig()
 	c.applied = m.GetApplied()
 	c.writers = decodeWriters(m.GetWriters())
 	for _, wm := range m.GetWorkloads() {
 		if err := c.restoreWorkload(wm); err != nil {
-			return nil, &encoder.MalformedError{What: "configuration snapshot", Cause: err}
+			return nil, &encoder.MalformedError{Input: "configuration snapshot", Cause: err}
 		}
 	}
 	for _, qm := range m.GetQuotas() {
 		q, err := encoder.DecodeQuota(qm.GetQuota())
 		if err != nil {
-			return nil, &encoder.MalformedError{What: "configuration snapshot", Cause: err}
+			return nil, &encoder.MalformedError{Input: "configuration snapshot", Cause: err}
 		}
 		c.quotas[q.Team()] = &VersionedQuota{Quota: q, Version: qm.GetVersion()}
 	}
--- a/applier/snapshot_placement.go
+++ b/applier/snapshot_placement.go
@@ -28,7 +28,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m)
 }
 
-func encodeLoad(l *Load) *pb.PlacementSnapshot_Workload {
+func encodeLoad(l *AdoptedWorkload) *pb.PlacementSnapshot_Workload {
 	m := &pb.PlacementSnapshot_Workload{
 		Id: uint64(l.id), Offset: l.offset, Resources: encoder.EncodeResources(l.resources),
 		Service: l.service, MaxTries: l.maxTries, Done: l.done, Failed: l.failed, Evictions: l.evictions,
@@ -51,7 +51,7 @@
 func RestorePlacement(data []byte) (*Placement, error) {
 	var m pb.PlacementSnapshot
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return nil, &encoder.MalformedError{What: "placement snapshot", Cause: err}
+		return nil, &encoder.MalformedError{Input: "placement snapshot", Cause: err}
 	}
 	p := NewPlacement()
 	p.applied = m.GetApplied()
@@ -71,14 +71,14 @@
 	}
 	for _, lm := range m.GetWorkloads() {
 		if err := p.restoreLoad(lm); err != nil {
-			return nil, &encoder.MalformedError{What: "placement snapshot", Cause: err}
+			return nil, &encoder.MalformedError{Input: "placement snapshot", Cause: err}
 		}
 	}
 	return p, nil
 }
 
 func (p *Placement) restoreLoad(m *pb.PlacementSnapshot_Workload) error {
-	l := &Load{
+	l := &AdoptedWorkload{
 		id: briarspring.WorkloadID(m.GetId()), offset: m.GetOffset(),
 		resources: encoder.DecodeResources(m.GetResources()), service: m.GetService(), maxTries: m.GetMaxTries(),
 		done: m.GetDone(), failed: m.GetFailed(), evictions: m.GetEvictions(),
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (p *Placement) restoreTask(l *Load, t *Task) error {
+func (p *Placement) restoreTask(l *AdoptedWorkload, t *Task) error {
 	l.tasks[t.index] = t
 	switch t.phase {
 	case PhaseWaiting:
--- a/applier/workload.go
+++ b/applier/workload.go
@@ -120,8 +120,8 @@
 	return n
 }
 
-// Holds returns the task indexes that are assigned to a data centre.
-func (w *Workload) Holds(dataCentre string) AssignedTasks {
+// AssignedTo returns the task indexes that are assigned to a data centre.
+func (w *Workload) AssignedTo(dataCentre string) AssignedTasks {
 	assigned := AssignedTasks{tasks: map[uint32]uint64{}}
 	for _, s := range w.shares {
 		if s.DataCentre != dataCentre {
@@ -256,14 +256,15 @@
 // checkFits returns an error if a task with these needs fits on no worker of any
 // data centre that has workers.
 func (c *Config) checkFits(object string, need briarspring.Resources) error {
-	if problem := c.Impossible(need); problem != "" {
+	if problem := c.InfeasibleReason(need); problem != "" {
 		return &briarspring.InvalidError{Object: object, Reason: problem}
 	}
 	return nil
 }
 
-// Impossible returns why no known worker can run a task with these needs, or "".
-func (c *Config) Impossible(need briarspring.Resources) string {
+// InfeasibleReason returns why no known worker can run a task with these needs,
+// or "".
+func (c *Config) InfeasibleReason(need briarspring.Resources) string {
 	var largest briarspring.Resources
 	for _, d := range c.dataCentres {
 		if d.summary.Workers == 0 {
--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -24,9 +24,9 @@
 	scheduler.Hosts
 }
 
-// Outside holds the external dependencies of a process. Zero fields are created
-// from the settings.
-type Outside struct {
+// Dependencies holds the external dependencies of a process. Zero fields are
+// created from the settings.
+type Dependencies struct {
 	Platform Platform
 	TLS      relayer.TLS
 	Logs     io.Writer
@@ -34,7 +34,7 @@
 
 // withDefaults creates missing dependencies from the settings, and the process's
 // logger.
-func (o Outside) withDefaults(s loader.Settings, role string) (Outside, hclog.Logger, error) {
+func (o Dependencies) withDefaults(s loader.Settings, role string) (Dependencies, hclog.Logger, error) {
 	if o.Logs == nil {
 		o.Logs = os.Stderr
 	}
--- a/assembler/feed_test.go
+++ b/assembler/feed_test.go
@@ -25,7 +25,7 @@
 		if proto.Unmarshal(data, &m) != nil {
 			return
 		}
-		gateway := forwarder.New(forwarder.Config{Router: router.Config{Seats: 3}})
+		gateway := forwarder.New(forwarder.Config{Router: router.Config{GatewayCount: 3}})
 		gateway.Apply(decodeFeed(&m))
 	})
 }
--- a/assembler/fleet_test.go
+++ b/assembler/fleet_test.go
@@ -69,7 +69,7 @@
 
 func workerEntry(id, centre string, cpu, born int64) briarspring.WorkerEntry {
 	return briarspring.WorkerEntry{
-		ID: id, Address: id, Service: "ledger", DataCentre: centre, Rack: "r1", Born: born,
+		ID: id, Address: id, Service: "ledger", DataCentre: centre, Rack: "r1", StartedAt: born,
 		Capacity: briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: cpu, MemoryMiB: 64000}),
 	}
 }
@@ -94,7 +94,7 @@
 		workflows: map[briarspring.WorkflowID]*briarspring.Workflow{}, failing: map[briarspring.TaskRef]int{},
 		hosts: map[string]*testHost{},
 	}
-	f.pool = imitator.NewPool(imitator.PoolConfig{Seed: seed, Latency: time.Millisecond, Plan: f.runOutcome, Spec: f.spec})
+	f.pool = imitator.NewPool(imitator.PoolConfig{Seed: seed, Latency: time.Millisecond, SimulateRun: f.runOutcome, Spec: f.spec})
 	f.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond})
 	f.store.Put(briarspring.DirectoryStream, directoryRecord(t, 1))
 	for _, centre := range centres {
@@ -105,8 +105,8 @@
 			f.start(centre, i)
 		}
 	}
-	listing := imitator.NewListing(imitator.ListingConfig{Pool: f.pool, Store: f.store})
-	f.goroutines.Go(func() { listing.Run(ctx) })
+	publisher := imitator.NewEntryPublisher(imitator.EntryPublisherConfig{Pool: f.pool, Store: f.store})
+	f.goroutines.Go(func() { publisher.Run(ctx) })
 	time.Sleep(3 * time.Second)
 	return f
 }
@@ -117,7 +117,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workflows[r.Task.Workflow]
-	if w == nil || w.Steps[r.Task.Step].Lasting {
+	if w == nil || w.Steps[r.Task.Step].LongRunning {
 		return 0, briarspring.RunDone
 	}
 	if f.failing[r.Task] > 0 {
@@ -149,10 +149,10 @@
 		name: name, centre: centre, caller: fmt.Sprintf("%s#%d", name, serial), cancel: cancel, done: make(chan struct{}),
 	}
 	var l *launcher.Launcher
-	l, h.intake = assembler.NewCore(assembler.HostConfig{
+	l, h.intake = assembler.NewHostCore(assembler.HostConfig{
 		Host: name, DataCentre: centre, DataCentres: f.centres, MilliCPU: 160, MaxLease: 6 * time.Second, StopTime: 3 * time.Second,
-		KeepFinal: 120 * time.Second,
-		Store:     f.store.For(h.caller), Workers: f.pool.For(h.caller), Decoder: imitator.Decoder{},
+		FinalRetention: 120 * time.Second,
+		Store:          f.store.Client(h.caller), Workers: f.pool.Client(h.caller), Decoder: imitator.Decoder{},
 		Now: func() time.Duration { return time.Since(f.began) }, Logger: f.logger(h),
 	})
 	f.mu.Lock()
@@ -273,7 +273,7 @@
 // assertNoViolations checks that the workers observed no broken invariant.
 func assertNoViolations(t *testing.T, f *fleet) {
 	t.Helper()
-	assert.Empty(t, f.pool.Broken())
+	assert.Empty(t, f.pool.Violations())
 }
 
 // assertPhase waits until a workflow reaches a phase.
@@ -316,7 +316,7 @@
 }
 
 func longRunningStep(tasks int) briarspring.Step {
-	return briarspring.Step{Tasks: tasks, Resources: cores(2000), Lasting: true, Image: "watch"}
+	return briarspring.Step{Tasks: tasks, Resources: cores(2000), LongRunning: true, Image: "watch"}
 }
 
 func inVirtualTime(t *testing.T, name string, test func(t *testing.T, f *fleet), centres ...string) {
--- a/assembler/gateway.go
+++ b/assembler/gateway.go
@@ -24,7 +24,7 @@
 )
 
 // NewGateway returns the launcher of a gateway process.
-func NewGateway(s loader.Settings, o Outside) (*launcher.Launcher, error) {
+func NewGateway(s loader.Settings, o Dependencies) (*launcher.Launcher, error) {
 	o, logger, err := o.withDefaults(s, "gateway")
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 func forwarderConfig(s loader.Settings, logger hclog.Logger) forwarder.Config {
 	c := forwarder.Config{
 		Router: router.Config{
-			Rule: router.Rule(s.Gateway.Rule), Seat: s.Gateway.Seat, Seats: s.Gateway.Seats,
+			Rule: router.Rule(s.Gateway.Rule), GatewayIndex: s.Gateway.Seat, GatewayCount: s.Gateway.Seats,
 			QueueLength: s.Gateway.QueueLength, Seed: uint64(s.Gateway.Seat) + 1,
 		},
 		DefaultTimeout: s.Gateway.DefaultTimeout, MaxTimeout: s.Gateway.MaxTimeout,
@@ -64,7 +64,7 @@
 		RetryShare: s.Gateway.RetryShare, CallerRate: s.Gateway.CallerRate, Logger: logger,
 	}
 	for _, e := range s.Gateway.Elsewhere {
-		c.Elsewhere = append(c.Elsewhere, forwarder.Elsewhere{DataCentre: e.DataCentre, Address: e.Address})
+		c.RemoteGateways = append(c.RemoteGateways, forwarder.RemoteGateway{DataCentre: e.DataCentre, Address: e.Address})
 	}
 	return c
 }
@@ -134,7 +134,7 @@
 // stopServer keeps serving for the notice time, in which the balancer sees that
 // the host is not ready, and then drains the requests in flight.
 func stopServer(server *http.Server, guard *connGuard, notice time.Duration, giveUp <-chan struct{}, logger hclog.Logger) {
-	ctx, cancel := launcher.GiveUpContext(giveUp)
+	ctx, cancel := launcher.ContextUntil(giveUp)
 	defer cancel()
 	// If giveUp closes during the notice time, the shutdown below ends at once.
 	_ = sleeper.For(ctx, notice)
@@ -212,7 +212,7 @@
 func decodeFeed(m *pb.Feed) forwarder.Update {
 	u := forwarder.Update{
 		ConfigOffset: m.GetConfigOffset(), PlacementOffset: m.GetPlacementOffset(),
-		Whole: m.GetSnapshot(), Removed: m.GetRemoved(),
+		Snapshot: m.GetSnapshot(), Removed: m.GetRemoved(),
 	}
 	for _, s := range m.GetServices() {
 		u.Services = append(u.Services, forwarder.Service{Name: s.GetName(), Team: s.GetTeam(), Prefix: s.GetPrefix()})
--- a/assembler/history_test.go
+++ b/assembler/history_test.go
@@ -56,14 +56,14 @@
 	"store-down":  func(h *history) { h.storeFaults(imitator.KeyedFaults{Down: true}) },
 	"store-hush":  func(h *history) { h.storeFaults(imitator.KeyedFaults{Silent: true}) },
 	"store-slow":  func(h *history) { h.storeFaults(imitator.KeyedFaults{Latency: 350 * time.Millisecond}) },
-	"store-lossy": func(h *history) { h.storeFaults(imitator.KeyedFaults{LoseShare: 0.3, LateShare: 0.5}) },
+	"store-lossy": func(h *history) { h.storeFaults(imitator.KeyedFaults{LostAnswerShare: 0.3, LateAppendShare: 0.5}) },
 	"store-forget": func(h *history) {
-		h.store.Forget()
+		h.store.TrimHistory()
 	},
 	"late-orders": func(h *history) {
-		h.pool.LoseOrders(0.2)
+		h.pool.SetLateOrderShare(0.2)
 		time.Sleep(h.randomDuration(4 * time.Second))
-		h.pool.LoseOrders(0)
+		h.pool.SetLateOrderShare(0)
 	},
 	"crash-worker": func(h *history) {
 		id, down := h.randomWorker(), h.randomDuration(8*time.Second)
@@ -88,7 +88,7 @@
 			return
 		}
 		h.out = h.centres[h.random.IntN(len(h.centres))]
-		h.store.Put(briarspring.DirectoryStream, imitator.OutRecord(h.out, true))
+		h.store.Put(briarspring.DirectoryStream, imitator.OutOfServiceRecord(h.out, true))
 	},
 	"back":  func(h *history) { h.returnToService() },
 	"power": func(h *history) { h.failPower() },
@@ -221,7 +221,7 @@
 
 func (h *history) returnToService() {
 	if h.out != "" {
-		h.store.Put(briarspring.DirectoryStream, imitator.OutRecord(h.out, false))
+		h.store.Put(briarspring.DirectoryStream, imitator.OutOfServiceRecord(h.out, false))
 		h.out = ""
 	}
 }
@@ -234,7 +234,7 @@
 	} else {
 		for i := range 1 + h.random.IntN(3) {
 			s := shortStep(1 + h.random.IntN(4))
-			s.Fills = h.random.IntN(2) == 0
+			s.BestEffort = h.random.IntN(2) == 0
 			if i > 0 {
 				s.After = []int{h.random.IntN(i)}
 			}
@@ -250,14 +250,14 @@
 		h.mu.Unlock()
 	}
 	recurrence := briarspring.Recurrence{}
-	if h.kinds != nil && !steps[0].Lasting && h.kinds.IntN(4) == 0 {
+	if h.kinds != nil && !steps[0].LongRunning && h.kinds.IntN(4) == 0 {
 		recurrence = briarspring.Recurrence{
 			Times: 1 + h.kinds.IntN(4), First: time.Now().Add(time.Duration(h.kinds.Int64N(int64(4 * time.Second)))),
 			Interval: time.Duration(h.kinds.Int64N(int64(3 * time.Second))),
 		}
 	}
 	ok := h.submitRecurring(id, recurrence, steps...)
-	h.logf("submit %s accepted %t lasting %t occurrences %d", id, ok, steps[0].Lasting, recurrence.Times)
+	h.logf("submit %s accepted %t lasting %t occurrences %d", id, ok, steps[0].LongRunning, recurrence.Times)
 	if ok {
 		h.accepted = append(h.accepted, id)
 	}
@@ -266,7 +266,7 @@
 // heal ends every failure and waits for recovery.
 func (h *history) heal() {
 	h.returnToService()
-	h.pool.LoseOrders(0)
+	h.pool.SetLateOrderShare(0)
 	h.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond})
 	time.Sleep(40 * time.Second)
 }
@@ -308,7 +308,7 @@
 	defer h.end()
 	names := actionNames
 	if kinds != nil {
-		h.store.SetPage(smallPageSize)
+		h.store.SetPageSize(smallPageSize)
 		names = allActionNames
 	}
 	for range 12 + h.random.IntN(18) {
@@ -334,8 +334,8 @@
 	phase := h.phase(id)
 	switch {
 	case h.cancelled[id]:
-		assert.True(h.t, phase.Final() || h.workflows[id].Steps[0].Lasting || phase != briarspring.PhaseQueued, "%s was cancelled and is %s", id, phase)
-	case h.workflows[id].Steps[0].Lasting:
+		assert.True(h.t, phase.Final() || h.workflows[id].Steps[0].LongRunning || phase != briarspring.PhaseQueued, "%s was cancelled and is %s", id, phase)
+	case h.workflows[id].Steps[0].LongRunning:
 		assertRunning(h.t, h.fleet, id, time.Second)
 	default:
 		assert.Equal(h.t, briarspring.PhaseCompleted, phase, "phase of %s", id)
--- a/assembler/host.go
+++ b/assembler/host.go
@@ -27,16 +27,16 @@
 // HostConfig holds the settings and external dependencies of a host that runs
 // workflows.
 type HostConfig struct {
-	Host        string
-	DataCentre  string
-	DataCentres []string
-	MilliCPU    int // Thousandths of a core.
-	MaxLease    time.Duration
-	StopTime    time.Duration // For each part to finish its work in flight.
-	KeepFinal   time.Duration // Minimum time for which finished workflows are remembered.
-	FrontAddr   string
-	ReadyAddr   string
-	MetricsAddr string // Empty for none.
+	Host           string
+	DataCentre     string
+	DataCentres    []string
+	MilliCPU       int // Thousandths of a core.
+	MaxLease       time.Duration
+	StopTime       time.Duration // For each part to finish its work in flight.
+	FinalRetention time.Duration // Minimum time for which finished workflows are remembered.
+	CallersAddr    string
+	ReadyAddr      string
+	MetricsAddr    string // Empty for none.
 
 	OperatorsAddr string // Serves the operators' calls; empty for none.
 
@@ -46,12 +46,12 @@
 		cataloguer.Decoder
 		lister.Decoder
 	}
-	Front func(*admitter.Admitter) http.Handler
-	Ready func(a *admitter.Admitter, draining func() bool) http.Handler
-	Now   func() time.Duration
+	CallersHandler func(*admitter.Admitter) http.Handler
+	ReadyHandler   func(a *admitter.Admitter, draining func() bool) http.Handler
+	Now            func() time.Duration
 
-	Logger hclog.Logger
-	Logs   launcher.Part // Writes the log lines; nil for none.
+	Logger    hclog.Logger
+	LogWriter launcher.Part // Writes the log lines; nil for none.
 }
 
 const (
@@ -84,13 +84,13 @@
 
 // NewHost returns the launcher of a host that runs workflows.
 func NewHost(c HostConfig) (*launcher.Launcher, error) {
-	l, intake := NewCore(c)
-	return l, addFront(l, c, intake)
+	l, intake := NewHostCore(c)
+	return l, addServers(l, c, intake)
 }
 
-// NewCore returns the launcher of a host without the servers for callers, and the
-// admitter that handles callers' requests.
-func NewCore(c HostConfig) (*launcher.Launcher, *admitter.Admitter) {
+// NewHostCore returns the launcher of a host without the servers for callers,
+// and the admitter that handles callers' requests.
+func NewHostCore(c HostConfig) (*launcher.Launcher, *admitter.Admitter) {
 	incarnation := time.Now().UnixMilli()
 	logger := c.Logger
 	calls := counter.New()
@@ -118,8 +118,8 @@
 		Replica: replica, Reading: sharedTracker, Now: c.Now, Logger: logger,
 	})
 	l := launcher.New(logger, c.StopTime)
-	if c.Logs != nil {
-		l.Add("logs", c.Logs)
+	if c.LogWriter != nil {
+		l.Add("logs", c.LogWriter)
 	}
 	l.Add("shared", shared)
 	l.Add("reading", sharedTracker)
@@ -130,7 +130,7 @@
 	for _, name := range c.DataCentres {
 		owners[name] = steward.New(steward.Config{
 			Host: c.Host, HostDataCentre: c.DataCentre, DataCentre: name, DataCentres: c.DataCentres, Incarnation: incarnation, MilliCPU: c.MilliCPU,
-			Lease: min(defaultLease, c.MaxLease), MaxLease: c.MaxLease, KeepFinal: c.KeepFinal + finalRetentionMargin,
+			Lease: min(defaultLease, c.MaxLease), MaxLease: c.MaxLease, FinalRetention: c.FinalRetention + finalRetentionMargin,
 			Store: c.Store, Shared: shared, Workers: c.Workers, List: list, Catalogue: catalogue, Replica: replica,
 			ReplicaFreshness: sharedTracker, ListFreshness: workersTracker, NewPacer: func() steward.Pacer { return pacer.New() }, Now: c.Now, Logger: logger,
 			OnOwnership: func(on bool) {
@@ -149,18 +149,19 @@
 	return l, intake
 }
 
-// addFront adds the servers for callers and for the balancer's readiness checks.
-func addFront(l *launcher.Launcher, c HostConfig, intake *admitter.Admitter) error {
-	front, err := newFrontPart(c.FrontAddr, c.Front(intake), c.Logger)
+// addServers adds the servers for callers and for the balancer's readiness
+// checks.
+func addServers(l *launcher.Launcher, c HostConfig, intake *admitter.Admitter) error {
+	jobs, err := newJobsPart(c.CallersAddr, c.CallersHandler(intake), c.Logger)
 	if err != nil {
 		return err
 	}
-	ready, err := newHTTPPart(c.ReadyAddr, c.Ready(intake, front.stopping.Load), c.Logger)
+	ready, err := newHTTPPart(c.ReadyAddr, c.ReadyHandler(intake, jobs.stopping.Load), c.Logger)
 	if err != nil {
 		return err
 	}
 	l.Add("ready", ready)
-	l.Add("front", front)
+	l.Add("front", jobs)
 	return nil
 }
 
@@ -173,7 +174,7 @@
 }
 
 func newPresence(c HostConfig, incarnation int64, shared *appender.Appender) *presence {
-	value, err := encoder.HostPresence(briarspring.HostPresence{DataCentre: c.DataCentre, Incarnation: incarnation, MilliCPU: c.MilliCPU})
+	value, err := encoder.EncodeHostPresence(briarspring.HostPresence{DataCentre: c.DataCentre, Incarnation: incarnation, MilliCPU: c.MilliCPU})
 	if err != nil {
 		c.Logger.Error("presence can't be encoded", "error", err)
 	}
@@ -202,8 +203,8 @@
 	<-ctx.Done()
 }
 
-// frontPart serves callers, and drains requests in flight when it stops.
-type frontPart struct {
+// jobsPart serves callers, and drains requests in flight when it stops.
+type jobsPart struct {
 	server   *http.Server
 	guard    *connGuard
 	stopping atomic.Bool
@@ -212,31 +213,31 @@
 }
 
 const (
-	// frontIdleTimeout is the idle timeout of callers' connections; the platform's
-	// configurations state 15 s.
-	frontIdleTimeout = 15 * time.Second
-	// frontHeaderTimeout bounds the time to read a request's headers.
-	frontHeaderTimeout = 3 * time.Second
-	// maxFrontHeaderBytes bounds the size of a request's headers.
-	maxFrontHeaderBytes = 16 << 10
+	// jobsIdleTimeout is the idle timeout of callers' connections; the
+	// platform's configurations state 15 s.
+	jobsIdleTimeout = 15 * time.Second
+	// jobsHeaderTimeout bounds the time to read a request's headers.
+	jobsHeaderTimeout = 3 * time.Second
+	// maxJobsHeaderBytes bounds the size of a request's headers.
+	maxJobsHeaderBytes = 16 << 10
 )
 
-func newFrontPart(address string, h http.Handler, logger hclog.Logger) (*frontPart, error) {
+func newJobsPart(address string, h http.Handler, logger hclog.Logger) (*jobsPart, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	server := &http.Server{
-		Handler: h, ReadHeaderTimeout: frontHeaderTimeout, IdleTimeout: frontIdleTimeout, MaxHeaderBytes: maxFrontHeaderBytes,
+		Handler: h, ReadHeaderTimeout: jobsHeaderTimeout, IdleTimeout: jobsIdleTimeout, MaxHeaderBytes: maxJobsHeaderBytes,
 	}
-	return &frontPart{server: server, guard: guardConnections(server, listener), logger: logger, done: make(chan struct{})}, nil
+	return &jobsPart{server: server, guard: guardConnections(server, listener), logger: logger, done: make(chan struct{})}, nil
 }
 
 // Done returns a channel that is closed when Run has ended.
-func (p *frontPart) Done() <-chan struct{} { return p.done }
+func (p *jobsPart) Done() <-chan struct{} { return p.done }
 
 // Run serves until the context ends.
-func (p *frontPart) Run(ctx context.Context) {
+func (p *jobsPart) Run(ctx context.Context) {
 	defer close(p.done)
 	context.AfterFunc(ctx, func() { p.server.Close() })
 	p.server.Serve(p.guard) //nolint:errcheck // Ends with Close or the drain.
@@ -249,7 +250,7 @@
 
 // Stop withdraws readiness, keeps serving until the balancer has noticed, and
 // then drains the requests in flight.
-func (p *frontPart) Stop(giveUp <-chan struct{}) {
+func (p *jobsPart) Stop(giveUp <-chan struct{}) {
 	p.stopping.Store(true)
 	stopServer(p.server, p.guard, noticeTime, giveUp, p.logger)
 }
--- a/assembler/host_metrics.go
+++ b/assembler/host_metrics.go
@@ -48,13 +48,13 @@
 
 // outcomeOf returns the metric name of the outcome of a call to the log.
 func outcomeOf(err error) string {
-	var notDone *briarspring.NotDoneError
+	var notExecuted *briarspring.NotExecutedError
 	var fenced *briarspring.FencedError
 	var trimmed *briarspring.TrimmedError
 	switch {
 	case err == nil:
 		return "done"
-	case errors.As(err, &notDone):
+	case errors.As(err, &notExecuted):
 		return "not-done"
 	case errors.As(err, &fenced):
 		return "fenced"
--- a/assembler/host_operators.go
+++ b/assembler/host_operators.go
@@ -16,7 +16,7 @@
 	if c.OperatorsAddr == "" {
 		return
 	}
-	served := map[string]operator.Owner{}
+	served := map[string]operator.RunLister{}
 	for name, s := range owners {
 		served[name] = s
 	}
--- a/assembler/host_workflows_test.go
+++ b/assembler/host_workflows_test.go
@@ -99,12 +99,12 @@
 	inVirtualTime(t, "claims whose answers are lost", func(t *testing.T, f *fleet) {
 		f.submit("0000000000000014", longRunningStep(4))
 		assertRunning(t, f, "0000000000000014", time.Second)
-		f.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond, LoseShare: 0.6, LateShare: 0.5})
+		f.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond, LostAnswerShare: 0.6, LateAppendShare: 0.5})
 		go f.kill(f.host(tartu, 0), 3*time.Second)
 		go f.kill(f.host(viljandi, 1), 5*time.Second)
 		time.Sleep(9 * time.Second)
 		f.store.SetFaults(imitator.KeyedFaults{Latency: 5 * time.Millisecond})
-		f.store.Forget()
+		f.store.TrimHistory()
 		go f.kill(f.host(tartu, 1), time.Second)
 		time.Sleep(9 * time.Second)
 		f.submit("0000000000000015", shortStep(3))
@@ -167,11 +167,11 @@
 	}, tartu)
 
 	inVirtualTime(t, "orders are carried out late", func(t *testing.T, f *fleet) {
-		f.pool.LoseOrders(0.3)
+		f.pool.SetLateOrderShare(0.3)
 		f.submit("0000000000000024", longRunningStep(8))
 		f.submit("0000000000000025", shortStep(6), shortStep(6, 0))
 		time.Sleep(8 * time.Second)
-		f.pool.LoseOrders(0)
+		f.pool.SetLateOrderShare(0)
 		assertPhase(t, f, "0000000000000025", briarspring.PhaseCompleted, 20*time.Second)
 		assertRunning(t, f, "0000000000000024", 20*time.Second)
 		assertNoViolations(t, f)
@@ -183,7 +183,7 @@
 		f.submit("0000000000000031", longRunningStep(4))
 		assertRunning(t, f, "0000000000000031", time.Second)
 		home := f.centreOf("0000000000000031")
-		f.store.Put(briarspring.DirectoryStream, imitator.OutRecord(home, true))
+		f.store.Put(briarspring.DirectoryStream, imitator.OutOfServiceRecord(home, true))
 		time.Sleep(time.Second)
 		for i := range workersPerCentre {
 			f.pool.Crash("worker-" + home + "-" + string(rune('0'+i)))
--- a/assembler/scheduler.go
+++ b/assembler/scheduler.go
@@ -20,13 +20,13 @@
 )
 
 // NewScheduler returns the launcher of a scheduler process.
-func NewScheduler(s loader.Settings, o Outside) (*launcher.Launcher, error) {
+func NewScheduler(s loader.Settings, o Dependencies) (*launcher.Launcher, error) {
 	o, logger, err := o.withDefaults(s, "scheduler")
 	if err != nil {
 		return nil, err
 	}
-	elsewhere := clients(s.Scheduler.Elsewhere, s.Process.DataCentre, o.TLS)
-	engine := scheduler.New(schedulerConfig(s, o, elsewhere, logger))
+	remoteClients := clients(s.Scheduler.Elsewhere, s.Process.DataCentre, o.TLS)
+	engine := scheduler.New(schedulerConfig(s, o, remoteClients, logger))
 	peers, err := relayer.NewServer(relayer.ServerConfig{
 		Address: s.Scheduler.PeerAddress, TLS: o.TLS, Source: engine, Log: o.Platform, Logger: logger,
 	})
@@ -64,15 +64,15 @@
 	return list
 }
 
-func schedulerConfig(s loader.Settings, o Outside, elsewhere []*relayer.Client, logger hclog.Logger) scheduler.Config {
+func schedulerConfig(s loader.Settings, o Dependencies, remoteClients []*relayer.Client, logger hclog.Logger) scheduler.Config {
 	var log scheduler.Log = o.Platform
-	if len(elsewhere) > 0 {
-		log = relayer.NewRelayedLog(o.Platform, elsewhere, logger)
+	if len(remoteClients) > 0 {
+		log = relayer.NewFallbackLog(o.Platform, remoteClients, logger)
 	}
 	return scheduler.Config{
 		Name: s.Process.Name, DataCentre: s.Process.DataCentre,
 		Log: log, Workers: o.Platform, Hosts: o.Platform, Logger: logger,
-		Lease: s.Scheduler.Lease, OutageLease: s.Scheduler.OutageLease, StartWindow: s.Scheduler.StartWindow,
+		LeaseDuration: s.Scheduler.Lease, OutageLeaseDuration: s.Scheduler.OutageLease, StartWindow: s.Scheduler.StartWindow,
 		ExchangeInterval: s.Scheduler.ExchangeInterval, OwnerTimeout: s.Scheduler.OwnerTimeout,
 		SnapshotInterval: s.Scheduler.SnapshotInterval, SnapshotRecords: s.Scheduler.SnapshotRecords,
 		EvictionsPerMin: s.Scheduler.EvictionsPerMin,
--- a/assembler/status.go
+++ b/assembler/status.go
@@ -58,7 +58,7 @@
 		}
 		var page bytes.Buffer
 		var err error
-		engine.View(func(conf *applier.Config, place *applier.Placement) {
+		engine.ReadStates(func(conf *applier.Config, place *applier.Placement) {
 			d.DataCentres = conf.DataCentres()
 			d.Services = conf.Services()
 			d.Jobs = conf.Jobs()
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -15,9 +15,9 @@
 	// homeBonus, in seconds of backlog, favours the data centre that received a
 	// workflow, so that small differences cause no transfers.
 	homeBonus = 0.6
-	// maxHeartbeatAge is the age of an owner's heartbeat above which its data
+	// maxSilence is the age of an owner's heartbeat above which its data
 	// centre gets no workflows while others are available.
-	maxHeartbeatAge = 3 * time.Second
+	maxSilence = 3 * time.Second
 	// maxLongRunning is the fraction of a data centre's cores that long-running
 	// tasks may reserve before other data centres are preferred: urgent tasks need
 	// the rest.
@@ -32,38 +32,38 @@
 
 // Option is the state of a data centre that can be chosen.
 type Option struct {
-	DataCentre string
-	Out        bool             // Taken out of service by operators.
-	Owned      bool             // It has an owner.
-	BeatAge    time.Duration    // Age of the owner's last heartbeat.
-	Backlog    float64          // Seconds of work that waits, for all its cores.
-	Free       int64            // Thousandths of a core that are not reserved.
-	Largest    int64            // Free thousandths of a core on the worker with most of them.
-	Total      int64            // Thousandths of a core in total.
-	Lasting    int64            // Thousandths of a core reserved by accepted long-running workflows.
-	Rooms      map[string]int64 // Idle thousandths of a core that best-effort tasks could use, by image.
+	DataCentre   string
+	OutOfService bool             // Taken out of service by operators.
+	Owned        bool             // It has an owner.
+	HeartbeatAge time.Duration    // Age of the owner's last heartbeat.
+	Backlog      float64          // Seconds of work that waits, for all its cores.
+	Free         int64            // Thousandths of a core that are not reserved.
+	LargestFree  int64            // Free thousandths of a core on the worker with most of them.
+	Total        int64            // Thousandths of a core in total.
+	LongRunning  int64            // Thousandths of a core reserved by accepted long-running workflows.
+	IdleByImage  map[string]int64 // Idle thousandths of a core that best-effort tasks could use, by image.
 }
 
 // available reports whether the data centre can run workflows now.
-func (o *Option) available() bool { return !o.Out && o.Owned && o.BeatAge <= maxHeartbeatAge }
+func (o *Option) available() bool { return !o.OutOfService && o.Owned && o.HeartbeatAge <= maxSilence }
 
 // Catalogue knows which data centres are out of service.
 type Catalogue interface {
-	Out(dataCentre string) bool
+	OutOfService(dataCentre string) bool
 }
 
 // Options returns the state of the data centres in a host's replica.
 func Options(now time.Duration, dataCentres []string, r *registrar.Registry, c Catalogue) []Option {
 	var options []Option
 	for _, name := range dataCentres {
-		beat := r.Beat(name)
+		heartbeat := r.Heartbeat(name)
 		o := Option{
-			DataCentre: name, Out: c.Out(name), Owned: r.Claim(name).Owner != "", BeatAge: now - beat.At,
-			Free: beat.Content.Free, Largest: beat.Content.Largest, Total: beat.Content.Total, Rooms: beat.Content.Rooms,
-			Lasting: r.Lasting(name),
+			DataCentre: name, OutOfService: c.OutOfService(name), Owned: r.Claim(name).Owner != "", HeartbeatAge: now - heartbeat.At,
+			Free: heartbeat.Content.Free, LargestFree: heartbeat.Content.Largest, Total: heartbeat.Content.Total, IdleByImage: heartbeat.Content.IdleByImage,
+			LongRunning: r.LongRunningMilliCPU(name),
 		}
-		if beat.Content.Total > 0 {
-			o.Backlog = float64(beat.Content.Backlog) / float64(beat.Content.Total)
+		if heartbeat.Content.Total > 0 {
+			o.Backlog = float64(heartbeat.Content.Backlog) / float64(heartbeat.Content.Total)
 		}
 		options = append(options, o)
 	}
@@ -77,15 +77,15 @@
 func Choose(home string, w *briarspring.Workflow, options []Option) string {
 	spec := &w.Steps[0]
 	switch {
-	case spec.Lasting && spec.Image != "":
+	case spec.LongRunning && spec.Image != "":
 		if to := chooseLongRunning(spec, options); to != "" {
 			return to
 		}
-	case spec.Fills && spec.Image != "":
+	case spec.BestEffort && spec.Image != "":
 		if to := chooseBestEffort(home, spec, options); to != "" {
 			return to
 		}
-	case !spec.Lasting && !spec.Fills:
+	case !spec.LongRunning && !spec.BestEffort:
 		if to := chooseReserved(home, spec, options); to != "" {
 			return to
 		}
@@ -100,7 +100,7 @@
 	need := int64(s.Tasks) * s.Resources.MilliCPU()
 	best, bestFree := "", int64(0)
 	for _, o := range options {
-		if !o.available() || o.Largest < s.Resources.MilliCPU() || o.Free < need {
+		if !o.available() || o.LargestFree < s.Resources.MilliCPU() || o.Free < need {
 			continue
 		}
 		if o.DataCentre == home && o.Free >= freeFactor*need {
@@ -120,7 +120,7 @@
 func chooseLeastBacklog(home string, options []Option) string {
 	best, bestCost := "", 0.0
 	for _, o := range options {
-		if o.Out {
+		if o.OutOfService {
 			continue
 		}
 		cost := o.Backlog
@@ -128,7 +128,7 @@
 			cost += homeBonus
 		}
 		if !o.available() {
-			cost += maxHeartbeatAge.Seconds()
+			cost += maxSilence.Seconds()
 		}
 		if best == "" || cost < bestCost {
 			best, bestCost = o.DataCentre, cost
@@ -146,7 +146,7 @@
 	need := int64(s.Tasks) * s.Resources.MilliCPU()
 	best, bestRank := "", uint64(0)
 	for _, o := range options {
-		if !o.available() || float64(o.Lasting+need) > maxLongRunning*float64(o.Total) {
+		if !o.available() || float64(o.LongRunning+need) > maxLongRunning*float64(o.Total) {
 			continue
 		}
 		if rank := xxhash.Sum64String(s.Image + "/" + o.DataCentre); best == "" || rank > bestRank {
@@ -161,7 +161,7 @@
 func chooseBestEffort(home string, s *briarspring.Step, options []Option) string {
 	best, bestIdle := "", int64(0)
 	for _, o := range options {
-		idle, known := o.Rooms[s.Image]
+		idle, known := o.IdleByImage[s.Image]
 		if !o.available() || !known {
 			continue
 		}
@@ -175,11 +175,11 @@
 	return best
 }
 
-// Elsewhere returns another data centre for a task that waits in the home one, or
-// "" if there is none. A task with reserved cores needs freeFactor times its cores
-// free there and must fit on a single worker; a best-effort task goes where its
-// image can use most idle cores.
-func Elsewhere(home string, s *briarspring.Step, options []Option) string {
+// ChooseOther returns another data centre for a task that waits in the home
+// one, or "" if there is none. A task with reserved cores needs freeFactor
+// times its cores free there and must fit on a single worker; a best-effort
+// task goes where its image can use most idle cores.
+func ChooseOther(home string, s *briarspring.Step, options []Option) string {
 	best, bestFree := "", int64(0)
 	for _, o := range options {
 		if o.DataCentre == home || !o.available() {
@@ -187,12 +187,12 @@
 		}
 		need := s.Resources.MilliCPU()
 		free := o.Free
-		if s.Fills {
-			free = o.Rooms[s.Image]
-		} else if o.Largest < need {
+		if s.BestEffort {
+			free = o.IdleByImage[s.Image]
+		} else if o.LargestFree < need {
 			continue
 		}
-		if free < freeFactor*need && !s.Fills {
+		if free < freeFactor*need && !s.BestEffort {
 			continue
 		}
 		if best == "" || free > bestFree {
--- a/cataloguer/cataloguer.go
+++ b/cataloguer/cataloguer.go
@@ -12,19 +12,19 @@
 
 // Decoder decodes records of the directory stream.
 type Decoder interface {
-	// Directory returns the queues that a record defines, and false for records
-	// of another kind.
-	Directory(r briarspring.KeyedRecord) (briarspring.Directory, bool, error)
-	// OutOfService returns the data centre that is out of service while the
+	// DecodeDirectory returns the queues that a record defines, and false for
+	// records of another kind.
+	DecodeDirectory(r briarspring.KeyedRecord) (briarspring.Directory, bool, error)
+	// DecodeOutKey returns the data centre that is out of service while the
 	// record with this key exists, and false for records of another kind.
-	OutOfService(key string) (dataCentre string, ok bool)
+	DecodeOutKey(key string) (dataCentre string, ok bool)
 }
 
 // Config holds the settings of a Catalogue.
 type Config struct {
-	Decoder Decoder
-	Logger  hclog.Logger
-	Changed func() // Called after Restore and Apply; optional.
+	Decoder  Decoder
+	Logger   hclog.Logger
+	OnChange func() // Called after Restore and Apply; optional.
 }
 
 // Catalogue is the operators' configuration. It implements tracker.Sink.
@@ -42,8 +42,8 @@
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
 	}
-	if c.Changed == nil {
-		c.Changed = func() {}
+	if c.OnChange == nil {
+		c.OnChange = func() {}
 	}
 	return &Catalogue{config: c, outOfService: map[string]bool{}}
 }
@@ -55,8 +55,8 @@
 	return c.directory, c.loaded
 }
 
-// Out reports whether a data centre is out of service.
-func (c *Catalogue) Out(dataCentre string) bool {
+// OutOfService reports whether a data centre is out of service.
+func (c *Catalogue) OutOfService(dataCentre string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.outOfService[dataCentre]
@@ -77,7 +77,7 @@
 		}
 	}
 	c.mu.Unlock()
-	c.config.Changed()
+	c.config.OnChange()
 }
 
 // Apply applies records in order.
@@ -87,15 +87,15 @@
 		c.applyRecord(r)
 	}
 	c.mu.Unlock()
-	c.config.Changed()
+	c.config.OnChange()
 }
 
 func (c *Catalogue) applyRecord(r briarspring.KeyedRecord) {
-	if name, ok := c.config.Decoder.OutOfService(r.Key); ok {
+	if name, ok := c.config.Decoder.DecodeOutKey(r.Key); ok {
 		c.setOutOfService(name, len(r.Value) > 0)
 		return
 	}
-	directory, ok, err := c.config.Decoder.Directory(r)
+	directory, ok, err := c.config.Decoder.DecodeDirectory(r)
 	if err != nil {
 		c.config.Logger.Warn("ignoring invalid directory", "key", r.Key, "offset", r.Offset, "error", err)
 		return
--- a/cataloguer/cataloguer_test.go
+++ b/cataloguer/cataloguer_test.go
@@ -15,7 +15,7 @@
 // decoder reads versions from "directory" and data centres from "out/NAME".
 type decoder struct{}
 
-func (decoder) Directory(r briarspring.KeyedRecord) (briarspring.Directory, bool, error) {
+func (decoder) DecodeDirectory(r briarspring.KeyedRecord) (briarspring.Directory, bool, error) {
 	version, err := strconv.ParseUint(string(r.Value), 10, 64)
 	if err != nil {
 		return briarspring.Directory{}, false, errors.New("malformed")
@@ -23,7 +23,7 @@
 	return briarspring.Directory{Version: version}, r.Key == "directory", nil
 }
 
-func (decoder) OutOfService(key string) (string, bool) { return strings.CutPrefix(key, "out/") }
+func (decoder) DecodeOutKey(key string) (string, bool) { return strings.CutPrefix(key, "out/") }
 
 func record(key, value string) briarspring.KeyedRecord {
 	return briarspring.KeyedRecord{Key: key, Value: []byte(value)}
@@ -51,10 +51,10 @@
 	t.Run("follows data centres out and back", func(t *testing.T) {
 		c := cataloguer.New(cataloguer.Config{Decoder: decoder{}})
 		c.Apply([]briarspring.KeyedRecord{record("out/tartu", "{}"), record("out/voru", "{}")})
-		assert.True(t, c.Out("tartu"))
+		assert.True(t, c.OutOfService("tartu"))
 		c.Apply([]briarspring.KeyedRecord{record("out/tartu", "")})
-		assert.False(t, c.Out("tartu"))
+		assert.False(t, c.OutOfService("tartu"))
 		c.Restore(nil, 9)
-		assert.False(t, c.Out("voru"), "a data centre without a record is in service")
+		assert.False(t, c.OutOfService("voru"), "a data centre without a record is in service")
 	})
 }
--- a/claimer/claimer.go
+++ b/claimer/claimer.go
@@ -15,12 +15,12 @@
 
 const (
 	// localSilence is the owner's silence after which hosts in its data centre
-	// claim it. A heartbeat is due every 0.4 s; the delay of a slow log is allowed
-	// for separately, see beatStoreCalls.
+	// claim it. A heartbeat is due every 0.4 s; the delay of a slow log is
+	// allowed for separately, see heartbeatStoreCalls.
 	localSilence = 1800 * time.Millisecond
-	// beatStoreCalls is the number of store calls by which a heartbeat may be
-	// late.
-	beatStoreCalls = 4
+	// heartbeatStoreCalls is the number of store calls by which a heartbeat may
+	// be late.
+	heartbeatStoreCalls = 4
 	// remoteSilence is the silence after which hosts in other data centres claim:
 	// after every local host had its chance and before leases of 5.5 s expire.
 	remoteSilence = 3600 * time.Millisecond
@@ -52,28 +52,28 @@
 	maxReadAge = 400 * time.Millisecond
 )
 
-// Situation is the input of a host's decision.
-type Situation struct {
-	Now         time.Duration
-	Host        string
-	Local       bool // The host is in the data centre.
-	Weak        bool // Much larger hosts than this one are known.
-	Mixed       bool // Known hosts differ widely in size.
-	Owner       string
-	Token       uint64        // Of the claim in force; zero when there never was one.
-	OwnerLocal  bool          // The owner is in the data centre.
-	OwnerWeak   bool          // Much larger hosts than the owner are known.
-	LastBeat    time.Duration // When the owner's last heartbeat was read.
-	ClaimedAt   time.Duration // When the claim in force was read.
-	LastRead    time.Duration // When the last successful read was sent.
-	ReadSince   time.Duration // Start of the present period of reads without a gap.
-	StoreDelay  time.Duration // How long the log takes to answer.
-	LastAttempt time.Duration // When this host last claimed; zero for never.
-	Restarted   bool          // The owner's process has restarted.
+// State is the input of a host's decision.
+type State struct {
+	Now           time.Duration
+	Host          string
+	Local         bool // The host is in the data centre.
+	Small         bool // Much larger hosts than this one are known.
+	SizesDiffer   bool // Known hosts differ widely in size.
+	Owner         string
+	Token         uint64        // Of the claim in force; zero when there never was one.
+	OwnerLocal    bool          // The owner is in the data centre.
+	OwnerSmall    bool          // Much larger hosts than the owner are known.
+	LastHeartbeat time.Duration // When the owner's last heartbeat was read.
+	ClaimedAt     time.Duration // When the claim in force was read.
+	LastRead      time.Duration // When the last successful read was sent.
+	ReadSince     time.Duration // Start of the present period of reads without a gap.
+	StoreDelay    time.Duration // How long the log takes to answer.
+	LastAttempt   time.Duration // When this host last claimed; zero for never.
+	Restarted     bool          // The owner's process has restarted.
 }
 
 // ShouldClaim reports whether the host should claim now, and why.
-func ShouldClaim(s Situation) (bool, string) {
+func ShouldClaim(s State) (bool, string) {
 	if s.Now-s.LastRead > maxReadAge {
 		return false, ""
 	}
@@ -89,40 +89,40 @@
 	// A heartbeat takes two calls and waits for the previous one. Time during
 	// which the log was unreadable doesn't count, since no owner could send
 	// heartbeats.
-	silence := s.LastRead - max(s.LastBeat, s.ClaimedAt, s.ReadSince) - beatStoreCalls*s.StoreDelay
+	silence := s.LastRead - max(s.LastHeartbeat, s.ClaimedAt, s.ReadSince) - heartbeatStoreCalls*s.StoreDelay
 	if silence > requiredSilence(s)+stagger(s.Host, claimSpread) {
 		if s.Local {
 			return true, "the owner is silent"
 		}
 		return true, "the owner is silent and no host in its data centre has claimed"
 	}
-	if !s.Local || s.Weak || s.Now-s.ReadSince <= reclaimAfter+stagger(s.Host, claimSpread) {
+	if !s.Local || s.Small || s.Now-s.ReadSince <= reclaimAfter+stagger(s.Host, claimSpread) {
 		return false, ""
 	}
 	switch {
 	case !s.OwnerLocal:
 		return true, "the owner is in another data centre"
-	case s.OwnerWeak:
+	case s.OwnerSmall:
 		return true, "the owner is a small host"
 	}
 	return false, ""
 }
 
 // requiredSilence returns the owner's silence after which a host may claim.
-func requiredSilence(s Situation) time.Duration {
+func requiredSilence(s State) time.Duration {
 	switch {
-	case s.Local && !s.Weak:
+	case s.Local && !s.Small:
 		return localSilence
-	case s.Mixed && !s.Weak:
+	case s.SizesDiffer && !s.Small:
 		return localSilence + largeRemoteDelay
-	case s.Local || !s.Weak:
+	case s.Local || !s.Small:
 		return remoteSilence
 	}
 	return remoteSilence + claimSpread
 }
 
 // shouldClaimVacant decides on a data centre that certainly has no owner.
-func shouldClaimVacant(s Situation) (bool, string) {
+func shouldClaimVacant(s State) (bool, string) {
 	since := s.Now - max(s.ReadSince, s.ClaimedAt)
 	if s.Restarted {
 		since = s.Now - s.ReadSince
@@ -135,15 +135,15 @@
 
 // vacantDelay returns how long a host waits for others to claim a data centre
 // without an owner.
-func vacantDelay(s Situation) time.Duration {
+func vacantDelay(s State) time.Duration {
 	switch {
-	case s.Local && !s.Weak:
+	case s.Local && !s.Small:
 		return stagger(s.Host, vacantSpread)
-	case s.Mixed && !s.Weak:
+	case s.SizesDiffer && !s.Small:
 		return vacantLargeRemoteDelay + stagger(s.Host, vacantSpread)
 	case s.Local:
 		return vacantSmallLocalDelay + stagger(s.Host, claimSpread)
-	case s.Weak:
+	case s.Small:
 		return remoteSilence + claimSpread + stagger(s.Host, claimSpread)
 	}
 	return remoteSilence + stagger(s.Host, claimSpread)
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -12,14 +12,14 @@
 const second = time.Second
 
 // healthy returns a host that follows the log while the owner sends heartbeats.
-func healthy(now time.Duration) claimer.Situation {
-	return claimer.Situation{
+func healthy(now time.Duration) claimer.State {
+	return claimer.State{
 		Now: now, Host: "host-1", Local: true, Owner: "host-2", Token: 9, OwnerLocal: true,
-		LastBeat: now - 300*time.Millisecond, LastRead: now - 20*time.Millisecond, ReadSince: now - 20*second,
+		LastHeartbeat: now - 300*time.Millisecond, LastRead: now - 20*time.Millisecond, ReadSince: now - 20*second,
 	}
 }
 
-func assertClaims(t *testing.T, want bool, s claimer.Situation) {
+func assertClaims(t *testing.T, want bool, s claimer.State) {
 	t.Helper()
 	got, why := claimer.ShouldClaim(s)
 	assert.Equal(t, want, got, why)
@@ -29,20 +29,20 @@
 	t.Run("not while the owner sends heartbeats", func(t *testing.T) { assertClaims(t, false, healthy(60*second)) })
 	t.Run("when the owner is silent", func(t *testing.T) {
 		s := healthy(60 * second)
-		s.LastBeat = s.Now - 3*second
+		s.LastHeartbeat = s.Now - 3*second
 		assertClaims(t, true, s)
 	})
 	t.Run("later in another data centre", func(t *testing.T) {
 		s := healthy(60 * second)
 		s.Local = false
-		s.LastBeat = s.Now - 3*second
+		s.LastHeartbeat = s.Now - 3*second
 		assertClaims(t, false, s)
-		s.LastBeat = s.Now - 5*second
+		s.LastHeartbeat = s.Now - 5*second
 		assertClaims(t, true, s)
 	})
 	t.Run("not on a stale read", func(t *testing.T) {
 		s := healthy(60 * second)
-		s.LastBeat, s.LastRead = s.Now-5*second, s.Now-second
+		s.LastHeartbeat, s.LastRead = s.Now-5*second, s.Now-second
 		assertClaims(t, false, s)
 	})
 	// A log slowed down 75 times delays heartbeats, and every takeover costs a
@@ -50,13 +50,13 @@
 	// four times.
 	t.Run("not because the log is slow", func(t *testing.T) {
 		s := healthy(60 * second)
-		s.LastBeat, s.StoreDelay = s.Now-2600*time.Millisecond, 350*time.Millisecond
+		s.LastHeartbeat, s.StoreDelay = s.Now-2600*time.Millisecond, 350*time.Millisecond
 		assertClaims(t, false, s)
 	})
 	// After an outage of the log, every host claimed every data centre at once.
 	t.Run("not because the log was unreadable", func(t *testing.T) {
 		s := healthy(60 * second)
-		s.LastBeat, s.ReadSince = s.Now-6*second, s.Now-second
+		s.LastHeartbeat, s.ReadSince = s.Now-6*second, s.Now-second
 		assertClaims(t, false, s)
 	})
 	t.Run("soon when the owner's process restarted", func(t *testing.T) {
@@ -75,7 +75,7 @@
 	})
 	t.Run("not again before the last attempt can have been read", func(t *testing.T) {
 		s := healthy(60 * second)
-		s.LastBeat, s.LastAttempt = s.Now-5*second, s.Now-second
+		s.LastHeartbeat, s.LastAttempt = s.Now-5*second, s.Now-second
 		assertClaims(t, false, s)
 	})
 }
@@ -84,20 +84,20 @@
 // centres that large ones had just given up, and could not renew the leases of
 // their workers.
 func TestSmallHosts(t *testing.T) {
-	small := func(s claimer.Situation) claimer.Situation {
-		s.Weak, s.Mixed = true, true
+	small := func(s claimer.State) claimer.State {
+		s.Small, s.SizesDiffer = true, true
 		return s
 	}
-	large := func(s claimer.Situation) claimer.Situation {
-		s.Mixed = true
+	large := func(s claimer.State) claimer.State {
+		s.SizesDiffer = true
 		return s
 	}
-	vacant := func(since time.Duration) claimer.Situation {
+	vacant := func(since time.Duration) claimer.State {
 		s := healthy(60 * second)
-		s.Owner, s.LastBeat, s.ClaimedAt = "", 0, s.Now-since
+		s.Owner, s.LastHeartbeat, s.ClaimedAt = "", 0, s.Now-since
 		return s
 	}
-	elsewhere := func(s claimer.Situation) claimer.Situation {
+	elsewhere := func(s claimer.State) claimer.State {
 		s.Local, s.OwnerLocal = false, false
 		return s
 	}
@@ -110,17 +110,17 @@
 	})
 	t.Run("wait longer for a silent owner", func(t *testing.T) {
 		s := healthy(60 * second)
-		s.LastBeat = s.Now - 3400*time.Millisecond
+		s.LastHeartbeat = s.Now - 3400*time.Millisecond
 		assertClaims(t, true, large(s))
 		assertClaims(t, true, elsewhere(large(s)))
 		assertClaims(t, false, small(s))
-		s.LastBeat = s.Now - 4300*time.Millisecond
+		s.LastHeartbeat = s.Now - 4300*time.Millisecond
 		assertClaims(t, true, small(s))
 		assertClaims(t, false, elsewhere(small(s)))
 	})
 	t.Run("are replaced by a large local one", func(t *testing.T) {
 		s := healthy(60 * second)
-		s.OwnerWeak = true
+		s.OwnerSmall = true
 		assertClaims(t, true, large(s))
 		assertClaims(t, false, small(s))
 		assertClaims(t, false, elsewhere(large(s)))
--- a/cmd/briarload/capacity.go
+++ b/cmd/briarload/capacity.go
@@ -106,7 +106,7 @@
 		start := briarspring.Start{Attempt: attempt(7, i, 1), Worker: 1 + i%300}
 		end := briarspring.End{Attempt: attempt(7, i, 1), Reason: briarspring.EndDone}
 		for _, e := range []briarspring.Event{start, end} {
-			data, err := encoder.Record(s.record(e))
+			data, err := encoder.EncodeRecord(s.record(e))
 			if err != nil {
 				return err
 			}
@@ -202,7 +202,7 @@
 		for i := range uint32(batchEvents) {
 			batch = append(batch, events[name](i))
 		}
-		data, err := encoder.Record(s.record(batch...))
+		data, err := encoder.EncodeRecord(s.record(batch...))
 		if err != nil {
 			return err
 		}
@@ -235,7 +235,7 @@
 // measurePlacer measures placement decisions per second on one core.
 func measurePlacer(w *tabwriter.Writer) error {
 	for _, workers := range []int{300, sizeWorkers} {
-		p := placer.New(placer.Config{Rejected: 3, MaxSlowdown: 0.2})
+		p := placer.New(placer.Config{MaxRejected: 3, MaxSlowdown: 0.2})
 		decisions := 0
 		begin := time.Now()
 		for time.Since(begin) < time.Second {
@@ -258,7 +258,7 @@
 	for i := range workers {
 		v := &placer.Worker{
 			Number: uint32(i + 1), Name: fmt.Sprintf("w%d", i), Rack: fmt.Sprintf("r%d", i/8),
-			Free: resourcesForCores(int64(4 + i%5)), Soon: resourcesForCores(8), Size: resourcesForCores(16), Usable: true,
+			Free: resourcesForCores(int64(4 + i%5)), FreeAfterEvictions: resourcesForCores(8), Size: resourcesForCores(16), Usable: true,
 		}
 		for k := range uint32(2) {
 			v.Running = append(v.Running, placer.Running{Attempt: attempt(3, uint32(i)*2+k, 1), Service: "ledger", Resources: resourcesForCores(2)})
@@ -270,7 +270,7 @@
 
 // measureRouter measures routing decisions per second on one core.
 func measureRouter(w *tabwriter.Writer) error {
-	r := router.New(router.Config{Seats: 3, QueueLength: 100})
+	r := router.New(router.Config{GatewayCount: 3, QueueLength: 100})
 	for i := range 65 {
 		r.Put(router.Executor{
 			ID: fmt.Sprintf("prices/%d#1", i), Service: "prices", Address: "127.0.0.1:1", Number: uint32(i), Slots: 8, Connections: 64,
@@ -282,7 +282,7 @@
 	for time.Since(begin) < time.Second {
 		for range 1000 {
 			a, _ := r.Submit(router.Request{ID: "r", Service: "prices", Deadline: now.Add(time.Hour)}, now)
-			r.Note(*a, router.ResultServed, now.Add(10*time.Millisecond))
+			r.RecordResult(*a, router.ResultServed, now.Add(10*time.Millisecond))
 			r.Release(*a, now.Add(10*time.Millisecond))
 			decisions++
 		}
@@ -354,7 +354,7 @@
 func (c *capacityCmd) submitShortJobs(ctx context.Context, schedulers []*scheduler.Scheduler) error {
 	s := schedulers[0]
 	for ready := false; !ready; time.Sleep(100 * time.Millisecond) {
-		s.View(func(conf *applier.Config, _ *applier.Placement) {
+		s.ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 			ready = len(conf.DataCentres()) == c.DataCentres
 			for _, d := range conf.DataCentres() {
 				ready = ready && int(d.Summary().Workers) == c.Workers
--- a/cmd/briarload/main.go
+++ b/cmd/briarload/main.go
@@ -61,13 +61,13 @@
 	printResults(results)
 	var wrong uint64
 	for _, r := range results {
-		wrong += r.Wrong
+		wrong += r.InvalidAnswers
 	}
 	runs, err := c.runs()
 	if err != nil {
 		return err
 	}
-	doubled := generator.Doubled(results, runs, c.Idempotent)
+	doubled := generator.ImproperRuns(results, runs, c.Idempotent)
 	fmt.Printf("wrong answers %d, requests run twice or though refused %d\n", wrong, len(doubled))
 	if wrong > 0 || len(doubled) > 0 {
 		return fmt.Errorf("wrong answers, or requests run twice or though refused")
--- a/cmd/briarload/replay.go
+++ b/cmd/briarload/replay.go
@@ -42,7 +42,7 @@
 			v, _ := r.measures[0].Get(name)
 			fmt.Printf("  %s %.3f\n", name, v)
 		}
-		for _, m := range r.trace.Missed(r.measures[0]) {
+		for _, m := range r.trace.UnmetOutcomes(r.measures[0]) {
 			fmt.Println("  missed:", m)
 			missed++
 		}
@@ -132,7 +132,7 @@
 		for i, rule := range rules {
 			m := r.measures[i]
 			fmt.Fprintf(&b, "| %s | %s | %.2f | %.3f | %.4f | %.0f | %.0f | %.0f | %d |\n", r.trace.Name, rule,
-				m.UrgentRatio, m.BatchShare, m.LostShare, m.Evictions, m.Doubled, m.LateStarts, len(r.trace.Missed(m)))
+				m.UrgentRatio, m.BatchShare, m.LostShare, m.Evictions, m.Doubled, m.LateStarts, len(r.trace.UnmetOutcomes(m)))
 		}
 	}
 	return b.String()
--- a/cmd/briarload/route.go
+++ b/cmd/briarload/route.go
@@ -105,7 +105,7 @@
 	}
 	for index, rule := range routeRules {
 		f := forwarder.New(forwarder.Config{
-			Router:         router.Config{Rule: rule, Seat: index, Seats: len(routeRules), QueueLength: 256, Seed: 1},
+			Router:         router.Config{Rule: rule, GatewayIndex: index, GatewayCount: len(routeRules), QueueLength: 256, Seed: 1},
 			DefaultTimeout: routeTimeout, MaxTimeout: routeTimeout, MaxBody: 1 << 20, MaxBuffered: 64 << 20, RetryShare: 0.1,
 		})
 		f.Apply(update)
@@ -125,7 +125,7 @@
 			Service: true, Slots: routeSlots, Connections: 64,
 		})
 	}
-	u := forwarder.Update{Whole: true, Services: []forwarder.Service{{Name: "ledger", Team: "t", Prefix: "/ledger/"}}}
+	u := forwarder.Update{Snapshot: true, Services: []forwarder.Service{{Name: "ledger", Team: "t", Prefix: "/ledger/"}}}
 	for _, t := range r.worker.Exchange(context.Background(), e).Tasks {
 		if t.Address == "" {
 			return u, fmt.Errorf("executor %s did not start", t.Attempt)
--- a/cmd/briarspring/ctl_workflow_test.go
+++ b/cmd/briarspring/ctl_workflow_test.go
@@ -42,7 +42,7 @@
 // process.
 func TestWorkflowCommands(t *testing.T) {
 	d, err := demonstrator.New(demonstrator.Config{
-		Firm: demonstrator.Firms["kask"], EntryHosts: 1, Workers: 2, Logs: io.Discard, LogLevel: "error",
+		Organisation: demonstrator.Organisations["kask"], EntryHosts: 1, Workers: 2, Logs: io.Discard, LogLevel: "error",
 	})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -51,7 +51,7 @@
 		cancel()
 		<-d.Done()
 	}()
-	host, other := d.Places()[0].Hosts[0], d.Places()[1].Hosts[0]
+	host, other := d.DataCentres()[0].Hosts[0], d.DataCentres()[1].Hosts[0]
 	require.Eventually(t, func() bool {
 		_, code := ctl(t, host, "queues")
 		return code == 0
--- a/cmd/briarspring/dev.go
+++ b/cmd/briarspring/dev.go
@@ -26,9 +26,9 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithCancel(ctx)
-	firm := demonstrator.Firms[c.Firm]
+	organisation := demonstrator.Organisations[c.Firm]
 	config := demonstrator.Config{
-		Firm: firm, EntryHosts: devEntryHosts, Workers: c.Workers, Logs: os.Stderr, LogLevel: c.Logs,
+		Organisation: organisation, EntryHosts: devEntryHosts, Workers: c.Workers, Logs: os.Stderr, LogLevel: c.Logs,
 	}
 	if c.Logs == "off" {
 		config.Logs, config.LogLevel = io.Discard, "error"
@@ -44,21 +44,21 @@
 		<-d.Done()
 	}()
 	if c.Example {
-		return demonstrator.Example(ctx, d, firm, os.Stdout)
+		return demonstrator.Example(ctx, d, organisation, os.Stdout)
 	}
-	c.printAddresses(d, firm)
+	c.printAddresses(d, organisation)
 	<-ctx.Done()
 	return nil
 }
 
-func (c *devCmd) printAddresses(d *demonstrator.Demonstrator, firm demonstrator.Firm) {
-	for _, p := range d.Places() {
+func (c *devCmd) printAddresses(d *demonstrator.Demonstrator, organisation demonstrator.Organisation) {
+	for _, p := range d.DataCentres() {
 		fmt.Printf("%s: gateways %v, operators %v, status pages %v, hosts for workflows %v\n", p.Name, p.Gateways, p.Operators, p.Admins, p.Hosts)
 	}
-	first := d.Places()[0]
+	first := d.DataCentres()[0]
 	fmt.Printf("\nCreate the example service, then ask it:\n"+
 		"  briarspring ctl --address %s apply examples/%s.objects.ini\n"+
-		"  curl -i -X POST -d receipt http://%s%s\n", first.Operators[0], c.Firm, first.Gateways[0], firm.Path)
+		"  curl -i -X POST -d receipt http://%s%s\n", first.Operators[0], c.Firm, first.Gateways[0], organisation.Path)
 	fmt.Printf("\nSubmit the example workflow, and see where it runs:\n"+
 		"  briarspring ctl --address %s workflow submit examples/bundle.workflow.ini\n"+
 		"  briarspring ctl --address %s workflow list\n", first.Hosts[0], first.Hosts[0])
--- a/cmd/briarspring/failure_test.go
+++ b/cmd/briarspring/failure_test.go
@@ -103,8 +103,8 @@
 			}
 		}
 	}
-	assert.Empty(t, generator.Doubled([]*generator.Result{r}, runs, false))
-	assert.Zero(t, r.Wrong)
+	assert.Empty(t, generator.ImproperRuns([]*generator.Result{r}, runs, false))
+	assert.Zero(t, r.InvalidAnswers)
 	assert.Equal(t, r.Sent, r.Served+r.NotRun+r.Unknown)
 	for id, outcome := range r.IDs {
 		if outcome == briarspring.OutcomeServed {
--- a/cmd/briarspring/host.go
+++ b/cmd/briarspring/host.go
@@ -70,23 +70,23 @@
 func (c *hostCmd) hostConfig(s platform.Settings, logger hclog.Logger, logs launcher.Part) assembler.HostConfig {
 	return assembler.HostConfig{
 		Host: s.Host, DataCentre: s.DataCentre, DataCentres: s.DataCentres, MilliCPU: s.MilliCPU,
-		MaxLease: s.MaxLease, StopTime: s.StopGrace - exitReserve, KeepFinal: s.KeepFinal, FrontAddr: s.FrontAddr, ReadyAddr: s.ReadyAddr,
+		MaxLease: s.MaxLease, StopTime: s.StopGrace - exitReserve, FinalRetention: s.FinalRetention, CallersAddr: s.CallersAddr, ReadyAddr: s.ReadyAddr,
 		MetricsAddr: c.metricsAddr(s), OperatorsAddr: s.OperatorsAddr,
-		Store:   platform.NewStore(platform.StoreConfig{Address: s.StoreAddr, WriteRate: s.WriteRate, ReadRate: s.ReadRate}),
-		Workers: platform.NewWorkers(),
-		Decoder: platform.Decoder{},
-		Front:   func(a *admitter.Admitter) http.Handler { return platform.NewFront(a, logger) },
-		Ready: func(a *admitter.Admitter, draining func() bool) http.Handler {
-			return platform.NewReady(a, draining)
+		Store:          platform.NewStore(platform.StoreConfig{Address: s.StoreAddr, WriteRate: s.WriteRate, ReadRate: s.ReadRate}),
+		Workers:        platform.NewWorkers(),
+		Decoder:        platform.Decoder{},
+		CallersHandler: func(a *admitter.Admitter) http.Handler { return platform.NewJobHandler(a, logger) },
+		ReadyHandler: func(a *admitter.Admitter, draining func() bool) http.Handler {
+			return platform.NewReadinessHandler(a, draining)
 		},
-		Now: timekeeper.BootTime, Logger: logger, Logs: logs,
+		Now: timekeeper.BootTime, Logger: logger, LogWriter: logs,
 	}
 }
 
 // metricsAddr returns the address of the metrics endpoint, which shares its IP
 // address with the callers' endpoint. It is empty if metrics are disabled.
 func (c *hostCmd) metricsAddr(s platform.Settings) string {
-	ip, _, err := net.SplitHostPort(s.FrontAddr)
+	ip, _, err := net.SplitHostPort(s.CallersAddr)
 	if err != nil || c.Metrics == 0 {
 		return ""
 	}
--- a/cmd/briarspring/process.go
+++ b/cmd/briarspring/process.go
@@ -33,14 +33,14 @@
 // Run runs a scheduler until SIGTERM or SIGINT.
 func (c *schedulerCmd) Run() error { return runProcess(c.Settings, assembler.NewScheduler) }
 
-func runProcess(path string, build func(loader.Settings, assembler.Outside) (*launcher.Launcher, error)) error {
+func runProcess(path string, build func(loader.Settings, assembler.Dependencies) (*launcher.Launcher, error)) error {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(memoryLimit)
 	settings, err := loader.Load(path)
 	if err != nil {
 		return err
 	}
-	l, err := build(settings, assembler.Outside{})
+	l, err := build(settings, assembler.Dependencies{})
 	if err != nil {
 		return err
 	}
--- a/committer/committer.go
+++ b/committer/committer.go
@@ -89,7 +89,7 @@
 }
 
 func (c *Committer) append(ctx context.Context, e entry) {
-	data, err := encoder.Record(briarspring.Record{Writer: c.config.Writer, Sequence: e.sequence, Body: e.body})
+	data, err := encoder.EncodeRecord(briarspring.Record{Writer: c.config.Writer, Sequence: e.sequence, Body: e.body})
 	if err != nil {
 		c.config.Logger.Error("record can't be encoded", "stream", c.config.Stream, "error", err)
 		return
--- a/declarer/workflow.go
+++ b/declarer/workflow.go
@@ -88,7 +88,7 @@
 		After: r.earlierSteps("after", number), Requirement: r.text("requirement", ""), Rack: r.text("rack", ""),
 		Image: r.text("image", ""), MaxPerWorker: int(r.count("max-per-worker", "0")),
 		TailTarget: r.optionalDuration("tail-target"), Checkpoints: r.flag("checkpoints"),
-		Speculative: r.flag("speculative"), Lasting: r.flag("lasting"), Fills: r.flag("fills"),
+		Speculative: r.flag("speculative"), LongRunning: r.flag("lasting"), BestEffort: r.flag("fills"),
 		Gang: r.flag("gang"), OneRack: r.flag("one-rack"), MaxMissing: int(r.count("max-missing", "0")),
 	}
 }
--- a/declarer/workflow_test.go
+++ b/declarer/workflow_test.go
@@ -67,7 +67,7 @@
 		assert.Equal(t, 900*time.Millisecond, w.Steps[0].Estimate)
 		assert.Equal(t, int64(1500), w.Steps[0].Resources.MilliCPU())
 		assert.Equal(t, []int{0}, w.Steps[1].After)
-		assert.True(t, w.Steps[1].Fills && w.Steps[1].Checkpoints && !w.Steps[1].Lasting)
+		assert.True(t, w.Steps[1].BestEffort && w.Steps[1].Checkpoints && !w.Steps[1].LongRunning)
 		assert.Equal(t, 1, w.Steps[1].Tasks)
 	})
 	t.Run("recurrence and gang", func(t *testing.T) {
--- a/demonstrator/demonstrator.go
+++ b/demonstrator/demonstrator.go
@@ -20,11 +20,11 @@
 
 // Config holds the settings of a Demonstrator.
 type Config struct {
-	Firm       Firm
-	EntryHosts int // Entry hosts per data centre.
-	Workers    int // Workers per data centre for services and jobs, and as many again for workflows.
-	Logs       io.Writer
-	LogLevel   string
+	Organisation Organisation
+	EntryHosts   int // Entry hosts per data centre.
+	Workers      int // Workers per data centre for services and jobs, and as many again for workflows.
+	Logs         io.Writer
+	LogLevel     string
 }
 
 // Demonstrator is a whole system in one process.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range c.Firm.DataCentres {
+	for _, name := range c.Organisation.DataCentres {
 		p, err := d.newDataCentre(name)
 		if err != nil {
 			return nil, err
@@ -144,7 +144,7 @@
 		return err
 	}
 	name := settings.Process.Name
-	outside := assembler.Outside{
+	outside := assembler.Dependencies{
 		Platform: embeddedPlatform{d.log.Client(name), p.fleet.Client(name), d.hosts}, TLS: tls, Logs: d.config.Logs,
 	}
 	scheduler, err := assembler.NewScheduler(settings, outside)
@@ -196,8 +196,8 @@
 		p.Gateways[i], strings.Join(p.peers, ","), i, len(p.Gateways), strings.Join(otherGateways, ","))
 }
 
-// Places returns the data centres.
-func (d *Demonstrator) Places() []*DataCentre { return d.dataCentres }
+// DataCentres returns the data centres.
+func (d *Demonstrator) DataCentres() []*DataCentre { return d.dataCentres }
 
 // Gateways returns the addresses of all gateways.
 func (d *Demonstrator) Gateways() []string {
--- a/demonstrator/demonstrator_test.go
+++ b/demonstrator/demonstrator_test.go
@@ -13,21 +13,21 @@
 	"briarspring/demonstrator"
 )
 
-// TestExample runs a firm's workloads in one process, where the race detector
-// sees every part.
+// TestExample runs an organisation's workloads in one process, where the race
+// detector sees every part.
 func TestExample(t *testing.T) {
-	firm := demonstrator.Firms["kask"]
+	organisation := demonstrator.Organisations["kask"]
 	logs, err := os.Create(filepath.Join(t.ArtifactDir(), "hosts.log"))
 	require.NoError(t, err)
 	defer logs.Close()
 	d, err := demonstrator.New(demonstrator.Config{
-		Firm: firm, EntryHosts: 2, Workers: 4, Logs: logs, LogLevel: "info",
+		Organisation: organisation, EntryHosts: 2, Workers: 4, Logs: logs, LogLevel: "info",
 	})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	go d.Run(ctx)
 	var out bytes.Buffer
-	assert.NoError(t, demonstrator.Example(ctx, d, firm, &out), out.String())
+	assert.NoError(t, demonstrator.Example(ctx, d, organisation, &out), out.String())
 	t.Log(out.String())
 	cancel()
 	<-d.Done()
--- a/demonstrator/example.go
+++ b/demonstrator/example.go
@@ -20,8 +20,8 @@
 	"briarspring/imitator"
 )
 
-// Firm is an organisation whose workloads the example can run.
-type Firm struct {
+// Organisation is an organisation whose workloads the example can run.
+type Organisation struct {
 	DataCentres []string
 	Objects     string // In the format of package declarer.
 	Service     string
@@ -31,8 +31,8 @@
 	TakenOut    string  // Data centre that is taken out of service and returned.
 }
 
-// Firms are the organisations by name.
-var Firms = map[string]Firm{
+// Organisations are the organisations by name.
+var Organisations = map[string]Organisation{
 	"kask": {
 		DataCentres: []string{"tartu", "viljandi", "voru"},
 		Objects: `[service ledger]
@@ -120,22 +120,23 @@
 	return fmt.Sprintf("the example failed its checks: %q", e.Problems)
 }
 
-// example is one run of a firm's workloads.
+// example is one run of an organisation's workloads.
 type example struct {
-	system      *Demonstrator
-	firm        Firm
-	client      briarspringv1connect.OperatorsClient
-	workflowRun *workflowRun
-	out         io.Writer
+	system       *Demonstrator
+	organisation Organisation
+	client       briarspringv1connect.OperatorsClient
+	workflowRun  *workflowRun
+	out          io.Writer
 }
 
-// Example runs a firm's workloads, meanwhile takes a data centre out of service
-// and returns it, and prints a summary. It returns a *FailedCheckError when a
-// request, task or workflow was lost, run twice or wrong.
-func Example(ctx context.Context, d *Demonstrator, firm Firm, out io.Writer) error {
-	e := &example{system: d, firm: firm, out: out}
-	e.client = briarspringv1connect.NewOperatorsClient(http.DefaultClient, "http://"+d.Places()[0].Operators[0])
-	e.workflowRun = newWorkflowRun(d.workflows, d.Places()[0].Hosts[0])
+// Example runs an organisation's workloads, meanwhile takes a data centre out
+// of service and returns it, and prints a summary. It returns a
+// *FailedCheckError when a request, task or workflow was lost, run twice or
+// wrong.
+func Example(ctx context.Context, d *Demonstrator, organisation Organisation, out io.Writer) error {
+	e := &example{system: d, organisation: organisation, out: out}
+	e.client = briarspringv1connect.NewOperatorsClient(http.DefaultClient, "http://"+d.DataCentres()[0].Operators[0])
+	e.workflowRun = newWorkflowRun(d.workflows, d.DataCentres()[0].Hosts[0])
 	if err := e.waitUntilUp(ctx); err != nil {
 		return err
 	}
@@ -185,7 +186,7 @@
 func (e *example) waitUntilUp(ctx context.Context) error {
 	return waitUntil(ctx, startupTimeout, "the start of all data centres", func() bool {
 		list, err := e.dataCentres(ctx)
-		if err != nil || len(list) < len(e.firm.DataCentres) {
+		if err != nil || len(list) < len(e.organisation.DataCentres) {
 			return false
 		}
 		for _, d := range list {
@@ -208,7 +209,7 @@
 }
 
 func (e *example) createObjects(ctx context.Context) error {
-	objects, err := declarer.Parse("example", []byte(e.firm.Objects))
+	objects, err := declarer.Parse("example", []byte(e.organisation.Objects))
 	if err != nil {
 		return err
 	}
@@ -237,7 +238,7 @@
 func (e *example) waitForExecutors(ctx context.Context) error {
 	return waitUntil(ctx, startupTimeout, "the service at every gateway", func() bool {
 		for _, g := range e.system.Gateways() {
-			r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g+e.firm.Path, nil)
+			r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g+e.organisation.Path, nil)
 			if err != nil {
 				return false
 			}
@@ -256,8 +257,8 @@
 
 func (e *example) generateLoad(ctx context.Context) []*generator.Result {
 	return generator.Run(ctx, generator.Config{
-		Arms: []generator.Arm{{Name: e.firm.Service, Addresses: e.system.Gateways()}},
-		Rate: e.firm.Rate, Duration: loadDuration, Path: e.firm.Path, Timeout: requestTimeout,
+		Arms: []generator.Arm{{Name: e.organisation.Service, Addresses: e.system.Gateways()}},
+		Rate: e.organisation.Rate, Duration: loadDuration, Path: e.organisation.Path, Timeout: requestTimeout,
 		Body: "receipt ", Prefix: "example", Seed: 1,
 	})
 }
@@ -289,7 +290,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for _, d := range list {
-		if d.GetName() != e.firm.TakenOut {
+		if d.GetName() != e.organisation.TakenOut {
 			continue
 		}
 		q := connect.NewRequest(&pb.DataCentreRequest{
@@ -347,11 +348,11 @@
 			runs[id] += n
 		}
 	}
-	doubledRequests := len(generator.Doubled([]*generator.Result{r}, runs, false))
+	doubledRequests := len(generator.ImproperRuns([]*generator.Result{r}, runs, false))
 	done, doubledTasks, evictions := countTasks(e.system.Journal().Entries())
 	expected := uint32(0)
 	w := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "requests\tserved %d\tnot-run %d\tunknown %d\twrong %d\tof %d\n", r.Served, r.NotRun, r.Unknown, r.Wrong, r.Sent)
+	fmt.Fprintf(w, "requests\tserved %d\tnot-run %d\tunknown %d\twrong %d\tof %d\n", r.Served, r.NotRun, r.Unknown, r.InvalidAnswers, r.Sent)
 	fmt.Fprintf(w, "latency\tp50 %s\tp99 %s\tp99.9 %s\n", r.Quantile(50), r.Quantile(99), r.Quantile(99.9))
 	for _, j := range jobs {
 		expected += j.GetJob().GetTasks()
@@ -376,10 +377,10 @@
 	if r.Unknown > 0 {
 		problems = append(problems, fmt.Sprintf("the outcome of %d requests is unknown", r.Unknown))
 	}
-	if r.Wrong > 0 {
+	if r.InvalidAnswers > 0 {
 		problems = append(problems, "an answer was wrong")
 	}
-	if r.Served+r.NotRun+r.Unknown+r.Wrong != r.Sent {
+	if r.Served+r.NotRun+r.Unknown+r.InvalidAnswers != r.Sent {
 		problems = append(problems, "a request was lost")
 	}
 	if len(problems) > 0 {
--- a/demonstrator/example_workflows.go
+++ b/demonstrator/example_workflows.go
@@ -56,9 +56,9 @@
 	queueLongRunning = "lasting"
 )
 
-// queues returns the firm's queues.
-func (f Firm) queues() []briarspring.Queue {
-	host := f.Service + ".example"
+// queues returns the organisation's queues.
+func (o Organisation) queues() []briarspring.Queue {
+	host := o.Service + ".example"
 	return []briarspring.Queue{
 		{Name: queueUrgent, Host: host, Prefix: "/urgent/", Service: poolService, MaxAttempts: maxAttempts, Stretch: urgentStretch, Allowance: urgentAllowance},
 		{Name: queueSeason, Host: host, Prefix: "/season/", Service: poolService, Priority: 2, MaxAttempts: maxAttempts, Stretch: seasonStretch, Allowance: seasonAllowance},
@@ -82,18 +82,18 @@
 // step interferes with the long-running tasks.
 func seasonSteps(number int) []briarspring.Step {
 	first := exampleStep(6, 2000, 1200*time.Millisecond)
-	first.Fills, first.Checkpoints, first.Image = true, true, imageHarmless
+	first.BestEffort, first.Checkpoints, first.Image = true, true, imageHarmless
 	if number%2 == 0 {
 		first.Image = imageInterfering
 	}
 	second := exampleStep(2, 1000, 600*time.Millisecond, 0)
-	second.Fills, second.Image = true, imageHarmless
+	second.BestEffort, second.Image = true, imageHarmless
 	return []briarspring.Step{first, second}
 }
 
 func longRunningSteps() []briarspring.Step {
 	s := exampleStep(longRunningTasks, 3000, 0)
-	s.Lasting, s.Image, s.TailTarget, s.MaxPerWorker = true, imageServing, tailTarget, 2
+	s.LongRunning, s.Image, s.TailTarget, s.MaxPerWorker = true, imageServing, tailTarget, 2
 	return []briarspring.Step{s}
 }
 
@@ -250,12 +250,12 @@
 			late++
 		}
 	}
-	violations := r.system.pool.Broken()
+	violations := r.system.pool.Violations()
 	fmt.Fprintf(out, "workflows\taccepted %d\tcompleted %d\turgent late %d of %d\tstarts %d\tdoubled or overcommitted %d\n",
 		len(r.submitted), len(r.completed), late, len(r.urgent), r.system.pool.Starts(), len(violations))
-	counts := r.system.pool.Account()
+	counts := r.system.pool.Counts()
 	fmt.Fprintf(out, "long-running tasks\trunning %d of %d\ttails over target %d of %d\tpace changes %d\n",
-		r.liveLongRunningTasks(), longRunningTasks, counts.TailsOverTarget, counts.TailReports, counts.Paces)
+		r.liveLongRunningTasks(), longRunningTasks, counts.TailsOverTarget, counts.TailReports, counts.PaceChanges)
 	problems := append(violations, r.failures...)
 	if r.liveLongRunningTasks() != longRunningTasks {
 		problems = append(problems, fmt.Sprintf("%d of %d long-running tasks are running", r.liveLongRunningTasks(), longRunningTasks))
--- a/demonstrator/workflows.go
+++ b/demonstrator/workflows.go
@@ -33,7 +33,7 @@
 type workflows struct {
 	store     *imitator.KeyedStore
 	pool      *imitator.Pool
-	listing   *imitator.Listing
+	publisher *imitator.EntryPublisher
 	logger    hclog.Logger
 	hosts     []*launcher.Launcher
 	admitters []*admitter.Admitter
@@ -45,10 +45,10 @@
 		store:  imitator.NewKeyedStore(1),
 		logger: hclog.New(&hclog.LoggerOptions{Name: "workflows", Level: hclog.LevelFromString(c.LogLevel), Output: c.Logs}),
 	}
-	s.pool = imitator.NewPool(imitator.PoolConfig{Seed: 1, Latency: orderLatency, Plan: s.planRun, Spec: s.findStep, Interference: s.interference})
+	s.pool = imitator.NewPool(imitator.PoolConfig{Seed: 1, Latency: orderLatency, SimulateRun: s.planRun, Spec: s.findStep, Interference: s.interference})
 	s.store.SetFaults(imitator.KeyedFaults{Latency: storeLatency})
-	s.listing = imitator.NewListing(imitator.ListingConfig{Pool: s.pool, Store: s.store, Logger: s.logger})
-	directory, err := imitator.DirectoryRecord(briarspring.Directory{Version: 1, Queues: c.Firm.queues()})
+	s.publisher = imitator.NewEntryPublisher(imitator.EntryPublisherConfig{Pool: s.pool, Store: s.store, Logger: s.logger})
+	directory, err := imitator.DirectoryRecord(briarspring.Directory{Version: 1, Queues: c.Organisation.queues()})
 	if err != nil {
 		return nil, err
 	}
@@ -84,10 +84,10 @@
 	p.Hosts = append(p.Hosts, address)
 	name := fmt.Sprintf("%s-host%d", p.Name, number)
 	startedAt := time.Now()
-	l, hostAdmitter := assembler.NewCore(assembler.HostConfig{
-		Host: name, DataCentre: p.Name, DataCentres: c.Firm.DataCentres, MilliCPU: hostMilliCPU, MaxLease: poolLease,
-		StopTime: hostStop, KeepFinal: keepFinal, OperatorsAddr: address,
-		Store: s.store.For(name), Workers: s.pool.For(name), Decoder: imitator.Decoder{},
+	l, hostAdmitter := assembler.NewHostCore(assembler.HostConfig{
+		Host: name, DataCentre: p.Name, DataCentres: c.Organisation.DataCentres, MilliCPU: hostMilliCPU, MaxLease: poolLease,
+		StopTime: hostStop, FinalRetention: keepFinal, OperatorsAddr: address,
+		Store: s.store.Client(name), Workers: s.pool.Client(name), Decoder: imitator.Decoder{},
 		Now: func() time.Duration { return time.Since(startedAt) }, Logger: s.logger.Named(name),
 	})
 	s.hosts = append(s.hosts, l)
@@ -99,7 +99,7 @@
 // the workflow.
 func (s *workflows) findStep(t briarspring.TaskRef) (w *briarspring.Workflow, step *briarspring.Step) {
 	for _, a := range s.admitters {
-		a.View(func(r *registrar.Registry) {
+		a.ReadRegistry(func(r *registrar.Registry) {
 			if e := r.Workflow(t.Workflow); e != nil {
 				w = e.Workflow()
 				step = &w.Steps[t.Step]
@@ -115,7 +115,7 @@
 // planRun makes runs take as long as their step declares.
 func (s *workflows) planRun(r briarspring.RunRef) (time.Duration, briarspring.RunEnd) {
 	_, step := s.findStep(r.Task)
-	if step == nil || step.Lasting {
+	if step == nil || step.LongRunning {
 		return 0, briarspring.RunDone
 	}
 	return step.Estimate, briarspring.RunDone
@@ -132,19 +132,19 @@
 
 // setOut takes a data centre out of service or returns it.
 func (s *workflows) setOut(dataCentre string, out bool) {
-	s.store.Put(briarspring.DirectoryStream, imitator.OutRecord(dataCentre, out))
+	s.store.Put(briarspring.DirectoryStream, imitator.OutOfServiceRecord(dataCentre, out))
 }
 
-// run runs the hosts until the context ends, and the listing until they have
+// run runs the hosts until the context ends, and the publisher until they have
 // stopped.
 func (s *workflows) run(ctx context.Context) {
 	var parts sync.WaitGroup
-	listingCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	go s.listing.Run(listingCtx)
+	publisherCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	go s.publisher.Run(publisherCtx)
 	for _, l := range s.hosts {
 		parts.Go(func() { l.Run(ctx) })
 	}
 	parts.Wait()
 	cancel()
-	<-s.listing.Done()
+	<-s.publisher.Done()
 }
--- a/dispatcher/commit.go
+++ b/dispatcher/commit.go
@@ -37,7 +37,7 @@
 		if j.finalPhaseStored || j.cancelled || j.transferredAway {
 			continue
 		}
-		value, err := encoder.RunProgress(j.progress())
+		value, err := encoder.EncodeRunProgress(j.progress())
 		if err != nil {
 			d.logger.Error("encoding progress failed", "workflow", id, "error", err)
 			continue
@@ -122,7 +122,7 @@
 		if j.phase.Final() {
 			key = registrar.FinalKey(id)
 		}
-		value, err := encoder.PhaseMark(j.phase)
+		value, err := encoder.EncodePhase(j.phase)
 		if err != nil {
 			d.logger.Error("encoding phase failed", "workflow", id, "error", err)
 			continue
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -36,29 +36,29 @@
 // long-running tasks there from interference.
 type Pacer interface {
 	// Decide returns the new paces of best-effort tasks on a worker.
-	Decide(now time.Duration, worker string, serving []Serving, filling []Filling) []Pace
-	// Share returns the share of full speed at which one more task of an image
-	// could work on a worker.
-	Share(worker, image string, cores float64, serving []Serving, filling []Filling) float64
-	// Presses reports whether an image interferes with any of the long-running
-	// tasks.
-	Presses(image string, serving []Serving) bool
+	Decide(now time.Duration, worker string, serving []ServingTask, bestEffort []BestEffortTask) []Pace
+	// SpeedFraction returns the share of full speed at which one more task of
+	// an image could work on a worker.
+	SpeedFraction(worker, image string, cores float64, serving []ServingTask, bestEffort []BestEffortTask) float64
+	// Interferes reports whether an image interferes with any of the
+	// long-running tasks.
+	Interferes(image string, serving []ServingTask) bool
 	// Forget drops everything learned about a worker.
 	Forget(worker string)
-	// Burden returns the share of all images that interfere with the
-	// long-running tasks.
-	Burden(serving []Serving) float64
+	// InterferingFraction returns the share of all images that interfere with
+	// the long-running tasks.
+	InterferingFraction(serving []ServingTask) float64
 }
 
-// Serving is a long-running task with a latency target, as last measured.
-type Serving struct {
-	Image  string
-	Tail   float64 // Tail latency as a share of the target; above one is too slow.
-	Marked bool    // Whether there is a recent measurement.
+// ServingTask is a long-running task with a latency target, as last measured.
+type ServingTask struct {
+	Image     string
+	TailRatio float64 // Tail latency as a share of the target; above one is too slow.
+	Measured  bool    // Whether there is a recent measurement.
 }
 
-// Filling is a best-effort task.
-type Filling struct {
+// BestEffortTask is a best-effort task.
+type BestEffortTask struct {
 	Run      briarspring.RunRef
 	Image    string
 	Cores    float64 // Declared.
@@ -139,31 +139,32 @@
 // Counters returns the event counts so far.
 func (d *Dispatcher) Counters() Counters { return d.counters }
 
-// SetOut sets whether operators have taken the data centre out of service.
-func (d *Dispatcher) SetOut(now time.Duration, out bool) {
+// SetOutOfService sets whether operators have taken the data centre out of
+// service.
+func (d *Dispatcher) SetOutOfService(now time.Duration, out bool) {
 	d.now = now
 	if d.outOfService == out {
 		return
 	}
 	d.outOfService = out
 	d.needsPlan = true
-	d.logger.Info("data centre taken out of service or put back", "out", out)
+	d.logger.Info("data centre taken out of or returned to service", "out", out)
 }
 
-// HoldStarts delays the start of inherited workflows until a time, because the
-// list of workers may be incomplete before it.
-func (d *Dispatcher) HoldStarts(until time.Duration) { d.startsFrom = max(d.startsFrom, until) }
+// DelayInheritedStarts delays the start of inherited workflows until a time,
+// because the list of workers may be incomplete before it.
+func (d *Dispatcher) DelayInheritedStarts(from time.Duration) { d.startsFrom = max(d.startsFrom, from) }
 
-// EarlierGone records when it became known that no earlier owner gives orders
-// any more.
-func (d *Dispatcher) EarlierGone(at time.Duration) {
+// SetPredecessorsGone records when it became known that no earlier owner gives
+// orders any more.
+func (d *Dispatcher) SetPredecessorsGone(at time.Duration) {
 	d.predecessorsGone = true
 	d.predecessorsGoneAt = at
 }
 
-// EarlierSilent sets the workers that did not answer the last owner and the
-// time by which their leases have certainly ended.
-func (d *Dispatcher) EarlierSilent(ends map[string]time.Duration) { d.silentLeaseEnds = ends }
+// SetSilentLeaseEnds sets the workers that did not answer the last owner and
+// the time by which their leases have certainly ended.
+func (d *Dispatcher) SetSilentLeaseEnds(ends map[string]time.Duration) { d.silentLeaseEnds = ends }
 
 // OrderKind is the kind of an order.
 type OrderKind uint8
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -22,11 +22,11 @@
 }
 
 type fakeWorker struct {
-	entry   briarspring.WorkerEntry
-	born    int64
-	running map[briarspring.RunRef]briarspring.RunningTask
-	ended   []briarspring.EndedTask
-	number  uint64
+	entry     briarspring.WorkerEntry
+	startedAt int64
+	running   map[briarspring.RunRef]briarspring.RunningTask
+	ended     []briarspring.EndedTask
+	number    uint64
 }
 
 func newFixture(t *testing.T, c dispatcher.Config, workers int) *fixture {
@@ -38,7 +38,7 @@
 			ID: fmt.Sprintf("w%d", i), Address: "a", Service: "ledger", DataCentre: "tartu", Rack: "r1",
 			Capacity: briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 8000, MemoryMiB: 32000}),
 		}
-		s.workers[e.ID] = &fakeWorker{entry: e, born: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
+		s.workers[e.ID] = &fakeWorker{entry: e, startedAt: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
 		entries = append(entries, e)
 	}
 	s.d.SetWorkers(s.now, entries)
@@ -68,23 +68,23 @@
 }
 
 func (s *fixture) renew(id string) {
-	h, ok := s.d.Hold(s.now, id)
+	h, ok := s.d.NextRenewal(s.now, id)
 	require.True(s.t, ok)
 	w := s.workers[id]
-	for len(w.ended) > 0 && w.ended[0].Number <= h.EndsBefore {
+	for len(w.ended) > 0 && w.ended[0].Number <= h.LastSeenEnd {
 		w.ended = w.ended[1:]
 	}
-	reply := briarspring.HoldReply{Born: w.born, Clock: s.now, Ended: w.ended}
+	reply := briarspring.LeaseReply{StartedAt: w.startedAt, Clock: s.now, Ended: w.ended}
 	for _, r := range w.running {
 		reply.Running = append(reply.Running, r)
 	}
-	s.d.Held(s.now, s.now, id, reply)
+	s.d.HandleRenewal(s.now, s.now, id, reply)
 }
 
 // planAndApply has the workers carry out the orders that are due and returns
 // the orders.
 func (s *fixture) planAndApply() []dispatcher.Order {
-	s.d.Tick()
+	s.d.ForcePlan()
 	orders := s.d.Plan(s.now)
 	for _, o := range orders {
 		w := s.workers[o.Worker]
@@ -96,7 +96,7 @@
 				s.endRun(o.Worker, o.Stop.Run, briarspring.RunStopped)
 			}
 		}
-		s.d.Answered(s.now, o, briarspring.VerdictDone)
+		s.d.HandleVerdict(s.now, o, briarspring.VerdictDone)
 	}
 	return orders
 }
@@ -189,7 +189,7 @@
 	})
 	t.Run("do not happen while the data centre is out of service", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
-		s.d.SetOut(s.now, true)
+		s.d.SetOutOfService(s.now, true)
 		s.d.Submit(s.now, 0, workflow("a", step(1, 1000)), 5, nil, nil)
 		assert.Empty(t, s.planAndApply())
 	})
@@ -213,11 +213,11 @@
 		s.d.Submit(s.now, 0, workflow("a", step(2, 1000)), 5, nil, nil)
 		s.endRun("w0", starts(s.planAndApply())["w0"][0], briarspring.RunDone)
 		s.renewAll()
-		h, _ := s.d.Hold(s.now, "w0")
-		assert.Zero(t, h.EndsBefore)
+		h, _ := s.d.NextRenewal(s.now, "w0")
+		assert.Zero(t, h.LastSeenEnd)
 		s.store()
-		h, _ = s.d.Hold(s.now, "w0")
-		assert.Equal(t, uint64(1), h.EndsBefore)
+		h, _ = s.d.NextRenewal(s.now, "w0")
+		assert.Equal(t, uint64(1), h.LastSeenEnd)
 	})
 	t.Run("of a new incarnation are not acknowledged by numbers of the old one", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
@@ -225,9 +225,9 @@
 		s.endRun("w0", starts(s.planAndApply())["w0"][0], briarspring.RunDone)
 		s.renewAll()
 		s.store()
-		s.d.HoldLost(s.now, "w0", briarspring.VerdictUnanswered)
-		h, _ := s.d.Hold(s.now, "w0")
-		assert.Zero(t, h.EndsBefore)
+		s.d.RenewalFailed(s.now, "w0", briarspring.VerdictUnanswered)
+		h, _ := s.d.NextRenewal(s.now, "w0")
+		assert.Zero(t, h.LastSeenEnd)
 	})
 }
 
@@ -240,8 +240,8 @@
 		require.Len(t, starts(s.planAndApply()), 2)
 		for range 70 {
 			s.now += 100 * time.Millisecond
-			s.d.Hold(s.now, "w0")
-			s.d.HoldLost(s.now, "w0", briarspring.VerdictUnanswered)
+			s.d.NextRenewal(s.now, "w0")
+			s.d.RenewalFailed(s.now, "w0", briarspring.VerdictUnanswered)
 			s.renew("w1")
 			s.d.Plan(s.now)
 		}
@@ -251,11 +251,11 @@
 		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		s.d.Submit(s.now, 0, workflow("a", step(1, 1000)), 5, nil, nil)
 		s.planAndApply()
-		s.workers["w0"].born = 2
+		s.workers["w0"].startedAt = 2
 		s.renewAll()
 		for range 59 {
 			s.now += 100 * time.Millisecond
-			s.d.HoldLost(s.now, "w0", briarspring.VerdictUnanswered)
+			s.d.RenewalFailed(s.now, "w0", briarspring.VerdictUnanswered)
 			s.d.Plan(s.now)
 		}
 		assert.Zero(t, s.d.Counters().Lost)
@@ -265,8 +265,8 @@
 func TestTakeover(t *testing.T) {
 	newTakeover := func(t *testing.T) *fixture {
 		s := newFixture(t, dispatcher.Config{Token: 100, Predecessor: true}, 0)
-		s.workers["w0"] = &fakeWorker{born: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
-		s.workers["w1"] = &fakeWorker{born: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
+		s.workers["w0"] = &fakeWorker{startedAt: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
+		s.workers["w1"] = &fakeWorker{startedAt: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
 		return s
 	}
 	entries := func() []briarspring.WorkerEntry {
@@ -299,10 +299,10 @@
 	})
 	t.Run("asks each worker for an answer at once", func(t *testing.T) {
 		s := takeOver(t)
-		first, _ := s.d.Hold(s.now, "w0")
+		first, _ := s.d.NextRenewal(s.now, "w0")
 		assert.Zero(t, first.Wait)
 		s.renew("w0")
-		next, _ := s.d.Hold(s.now, "w0")
+		next, _ := s.d.NextRenewal(s.now, "w0")
 		assert.Positive(t, next.Wait)
 	})
 	t.Run("starts what was submitted after the claim at once", func(t *testing.T) {
@@ -321,7 +321,7 @@
 	t.Run("waits for leases that the earlier owner gave", func(t *testing.T) {
 		s := takeOver(t)
 		s.renew("w0")
-		s.d.EarlierGone(s.now)
+		s.d.SetPredecessorsGone(s.now)
 		s.now += 5 * time.Second
 		s.renew("w0")
 		assert.Empty(t, starts(s.planAndApply()))
@@ -332,7 +332,7 @@
 	t.Run("knows from the earlier owner which leases have ended", func(t *testing.T) {
 		s := takeOver(t)
 		s.renew("w0")
-		s.d.EarlierSilent(map[string]time.Duration{"w1": s.now - 1})
+		s.d.SetSilentLeaseEnds(map[string]time.Duration{"w1": s.now - 1})
 		assert.Equal(t, 1, countRuns(starts(s.planAndApply())))
 	})
 }
@@ -384,21 +384,21 @@
 // stubPacer limits best-effort tasks to a share of full speed.
 type stubPacer struct{ share float64 }
 
-func (stubPacer) Decide(time.Duration, string, []dispatcher.Serving, []dispatcher.Filling) []dispatcher.Pace {
+func (stubPacer) Decide(time.Duration, string, []dispatcher.ServingTask, []dispatcher.BestEffortTask) []dispatcher.Pace {
 	return nil
 }
 
-func (p stubPacer) Share(string, string, float64, []dispatcher.Serving, []dispatcher.Filling) float64 {
+func (p stubPacer) SpeedFraction(string, string, float64, []dispatcher.ServingTask, []dispatcher.BestEffortTask) float64 {
 	return p.share
 }
 
-func (stubPacer) Presses(string, []dispatcher.Serving) bool { return true }
-func (stubPacer) Forget(string)                             {}
-func (stubPacer) Burden([]dispatcher.Serving) float64       { return 0 }
+func (stubPacer) Interferes(string, []dispatcher.ServingTask) bool     { return true }
+func (stubPacer) Forget(string)                                        {}
+func (stubPacer) InterferingFraction([]dispatcher.ServingTask) float64 { return 0 }
 
-func TestFilling(t *testing.T) {
+func TestBestEffortTasks(t *testing.T) {
 	bestEffort := step(3, 1000)
-	bestEffort.Fills, bestEffort.Image = true, "x"
+	bestEffort.BestEffort, bestEffort.Image = true, "x"
 	// Guards against a workflow without live runs that waits all day for a
 	// worker where it interferes with nothing.
 	t.Run("starts one task when nothing of its workflow can run at a good pace", func(t *testing.T) {
@@ -418,12 +418,12 @@
 	t.Run("is preempted for the memory of long-running tasks", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		large := step(7, 1000)
-		large.Fills, large.Checkpoints = true, true
+		large.BestEffort, large.Checkpoints = true, true
 		large.Resources = briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 1000, MemoryMiB: 4500})
 		s.d.Submit(s.now, 0, workflow("a", large), 5, nil, nil)
 		require.Equal(t, 7, countRuns(starts(s.planAndApply())))
 		service := step(1, 3000)
-		service.Lasting = true
+		service.LongRunning = true
 		service.Resources = briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 3000, MemoryMiB: 9000})
 		s.d.Submit(s.now, 0, workflow("b", service), 6, nil, nil)
 		orders := s.planAndApply()
@@ -445,13 +445,13 @@
 	s.d.SetWorkers(s.now, left)
 	s.now += 6 * time.Minute
 	s.d.SetWorkers(s.now, left)
-	_, known := s.d.Hold(s.now, "w0")
+	_, known := s.d.NextRenewal(s.now, "w0")
 	assert.True(t, known, "a worker with a run that may be alive stays known")
 	s.now += 30 * time.Second // The lease that was just renewed ends.
 	s.d.Plan(s.now)
 	s.d.SetWorkers(s.now, left)
-	_, known = s.d.Hold(s.now, "w0")
+	_, known = s.d.NextRenewal(s.now, "w0")
 	assert.False(t, known, "a worker that left long ago and has no runs is forgotten")
-	_, known = s.d.Hold(s.now, "w1")
+	_, known = s.d.NextRenewal(s.now, "w1")
 	assert.True(t, known)
 }
--- a/dispatcher/drain.go
+++ b/dispatcher/drain.go
@@ -79,7 +79,7 @@
 	var movable []*run
 	for _, r := range w.runs {
 		switch {
-		case !r.task.step.spec().Lasting:
+		case !r.task.step.spec().LongRunning:
 		case r.stopping:
 			return nil
 		case r.state == runAlive && r.task.step.mayStopOne() && d.bestReserved(r.task) != nil:
--- a/dispatcher/drain_test.go
+++ b/dispatcher/drain_test.go
@@ -104,7 +104,7 @@
 func (s *fixture) addWorker(id string) {
 	e := s.workers["w0"].entry
 	e.ID, e.Draining = id, false
-	s.workers[id] = &fakeWorker{entry: e, born: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
+	s.workers[id] = &fakeWorker{entry: e, startedAt: 1, running: map[briarspring.RunRef]briarspring.RunningTask{}}
 	var entries []briarspring.WorkerEntry
 	for _, w := range s.workers {
 		entries = append(entries, w.entry)
--- a/dispatcher/gang.go
+++ b/dispatcher/gang.go
@@ -72,11 +72,11 @@
 	if s.waiting != s.unfinished || d.exhausted(s.tasks[0]) || slices.ContainsFunc(s.tasks, func(t *task) bool { return !t.pending() }) {
 		return
 	}
-	bookings := d.placeGang(s)
+	placements := d.placeGang(s)
 	number := s.lastRun() + 1
-	for _, p := range bookings {
+	for _, p := range placements {
 		r := d.startRun(p.task, p.worker, number)
-		if s.spec().Fills {
+		if s.spec().BestEffort {
 			d.setPace(r, percentOf(p.share))
 		}
 	}
@@ -92,10 +92,10 @@
 	}
 	for _, rack := range d.racks() {
 		s.rack = rack
-		bookings := d.placeAll(s)
+		placements := d.placeAll(s)
 		s.rack = ""
-		if bookings != nil {
-			return bookings
+		if placements != nil {
+			return placements
 		}
 	}
 	if d.now-s.readySince() < d.expectedRunTime(s) && d.mayFitOneRack(s) {
@@ -117,33 +117,33 @@
 // placeAll chooses workers for all tasks of a step, or returns nil if one of
 // them fits nowhere.
 func (d *Dispatcher) placeAll(s *step) []placement {
-	var bookings []placement
+	var placements []placement
 	for _, t := range s.tasks {
 		p := placement{task: t}
-		if s.spec().Fills {
+		if s.spec().BestEffort {
 			p.worker, p.share = d.chooseBestEffort(t)
 		} else {
 			p.worker = d.bestReserved(t)
 		}
 		if p.worker == nil {
-			if !s.spec().Fills && s.rack == "" {
+			if !s.spec().BestEffort && s.rack == "" {
 				d.preemptFor(t)
 			}
-			s.releasePlacements(bookings)
+			s.releasePlacements(placements)
 			return nil
 		}
 		p.bestEffortCPU = p.worker.reserve(s.spec())
 		s.spread[p.worker]++
-		bookings = append(bookings, p)
+		placements = append(placements, p)
 	}
-	s.releasePlacements(bookings)
-	return bookings
+	s.releasePlacements(placements)
+	return placements
 }
 
 // releasePlacements releases what was reserved for placements while the others
 // were chosen.
-func (s *step) releasePlacements(bookings []placement) {
-	for _, p := range bookings {
+func (s *step) releasePlacements(placements []placement) {
+	for _, p := range placements {
 		p.worker.release(s.spec(), p.bestEffortCPU)
 		if s.spread[p.worker]--; s.spread[p.worker] == 0 {
 			delete(s.spread, p.worker)
--- a/dispatcher/job.go
+++ b/dispatcher/job.go
@@ -332,7 +332,7 @@
 		left += s.unfinished
 	}
 	for _, t := range j.tasks {
-		if !t.done && !t.step.spec().Lasting && j.workflow.MaxAttempts > 0 && t.failures() >= j.workflow.MaxAttempts && len(t.runs) == 0 {
+		if !t.done && !t.step.spec().LongRunning && j.workflow.MaxAttempts > 0 && t.failures() >= j.workflow.MaxAttempts && len(t.runs) == 0 {
 			phase = briarspring.PhaseFailed
 		}
 		if phase == briarspring.PhaseQueued && (t.done || len(t.runs) > 0 || t.lastRun > 0) {
--- a/dispatcher/lease.go
+++ b/dispatcher/lease.go
@@ -17,13 +17,13 @@
 	stopRetryInterval = 1200 * time.Millisecond
 )
 
-// Hold returns the next lease renewal for a worker.
-func (d *Dispatcher) Hold(now time.Duration, id string) (briarspring.HoldRequest, bool) {
+// NextRenewal returns the next lease renewal for a worker.
+func (d *Dispatcher) NextRenewal(now time.Duration, id string) (briarspring.LeaseRequest, bool) {
 	w := d.workers[id]
 	if w == nil {
-		return briarspring.HoldRequest{}, false
+		return briarspring.LeaseRequest{}, false
 	}
-	h := briarspring.HoldRequest{Token: d.config.Token}
+	h := briarspring.LeaseRequest{Token: d.config.Token}
 	if !w.fenced {
 		// No inherited workflow starts before every worker has answered, so the
 		// first renewal does not wait for the end of a run.
@@ -37,14 +37,14 @@
 	}
 	h.Until = w.clockNow(now) + d.config.Lease
 	w.leaseUntil = max(w.leaseUntil, h.Until)
-	h.EndsBefore = w.lastEndStored
+	h.LastSeenEnd = w.lastEndStored
 	return h, true
 }
 
-// HoldLost records that a renewal failed. The worker may have restarted, and
-// then numbers its ends anew. HoldLost reports whether this is the first
-// failure in a row.
-func (d *Dispatcher) HoldLost(now time.Duration, id string, v briarspring.Verdict) bool {
+// RenewalFailed records that a renewal failed. The worker may have restarted,
+// and then numbers its ends anew. RenewalFailed reports whether this is the
+// first failure in a row.
+func (d *Dispatcher) RenewalFailed(now time.Duration, id string, v briarspring.Verdict) bool {
 	d.now = now
 	w := d.workers[id]
 	if w == nil {
@@ -58,21 +58,21 @@
 	return first
 }
 
-// Unstored reports whether a worker has reported ends that are not in the log
-// yet.
-func (d *Dispatcher) Unstored(id string) bool {
+// HasUnstoredEnds reports whether a worker has reported ends that are not in
+// the log yet.
+func (d *Dispatcher) HasUnstoredEnds(id string) bool {
 	w := d.workers[id]
 	return w != nil && w.lastEndSeen > w.lastEndStored
 }
 
-// Held processes a worker's reply to a renewal that was sent at sent.
-func (d *Dispatcher) Held(now, sent time.Duration, id string, reply briarspring.HoldReply) {
+// HandleRenewal processes a worker's reply to a renewal that was sent at sent.
+func (d *Dispatcher) HandleRenewal(now, sent time.Duration, id string, reply briarspring.LeaseReply) {
 	d.now = now
 	w := d.workers[id]
 	if w == nil {
 		return
 	}
-	if w.incarnation != reply.Born {
+	if w.incarnation != reply.StartedAt {
 		d.resetIncarnation(w, reply)
 	}
 	w.renewalFailed = false
@@ -113,12 +113,12 @@
 
 // resetIncarnation resets what was known of the worker before it restarted. Its
 // runs are kept until a list without them shows that they are gone.
-func (d *Dispatcher) resetIncarnation(w *worker, reply briarspring.HoldReply) {
+func (d *Dispatcher) resetIncarnation(w *worker, reply briarspring.LeaseReply) {
 	first := w.incarnation == 0
 	if !first {
-		d.logger.Warn("worker restarted", "worker", w.id, "born", reply.Born, "before", w.incarnation, "runs", len(w.runs))
+		d.logger.Warn("worker restarted", "worker", w.id, "born", reply.StartedAt, "before", w.incarnation, "runs", len(w.runs))
 	}
-	w.incarnation = reply.Born
+	w.incarnation = reply.StartedAt
 	w.lastEndSeen = 0
 	w.lastEndStored = 0
 	w.failureStreak = 0
@@ -174,7 +174,7 @@
 	d.updatePhase(j)
 }
 
-// age returns the time since a run was ordered, or zero for a nil run.
+// age returns the time since a run was ordered; zero for none.
 func (r *run) age(now time.Duration) time.Duration {
 	if r == nil {
 		return 0
@@ -351,9 +351,9 @@
 	return d.predecessorsGoneAt + time.Duration(float64(d.config.Lease)*(1+clockSkew)) + leaseMargin
 }
 
-// Silent returns the workers that do not answer, with the time left until all
-// their runs have certainly ended. Workers whose leases an earlier owner may
-// still renew are left out.
+// Silent returns the workers that do not answer, with the time after which all
+// their runs have certainly ended. Workers whose leases others may still renew
+// are left out.
 func (d *Dispatcher) Silent(now time.Duration) []briarspring.SilentWorker {
 	var list []briarspring.SilentWorker
 	for _, w := range d.workersByID {
--- a/dispatcher/load.go
+++ b/dispatcher/load.go
@@ -20,8 +20,8 @@
 
 // Load returns the backlog of declared work and the free processors, as
 // reported to other data centres.
-func (d *Dispatcher) Load() briarspring.OwnerBeat {
-	b := briarspring.OwnerBeat{Token: d.config.Token, Rooms: map[string]int64{}}
+func (d *Dispatcher) Load() briarspring.OwnerHeartbeat {
+	b := briarspring.OwnerHeartbeat{Token: d.config.Token, IdleByImage: map[string]int64{}}
 	waiting := d.bestEffortDemand()
 	for _, w := range d.workersByID {
 		if !w.acceptsStarts(d.now) {
@@ -30,13 +30,13 @@
 		b.Total += w.entry.Capacity.MilliCPU()
 		b.Free += w.free().MilliCPU()
 		b.Largest = max(b.Largest, w.free().MilliCPU())
-		d.addRooms(b.Rooms, w, waiting)
+		d.addRooms(b.IdleByImage, w, waiting)
 	}
 	for _, i := range waiting {
-		b.Rooms[i.image] -= i.cores
+		b.IdleByImage[i.image] -= i.cores
 	}
 	for _, j := range d.jobs {
-		if !j.inactive() && !j.workflow.Lasting() {
+		if !j.inactive() && !j.workflow.LongRunning() {
 			b.Backlog += j.unfinishedDueWork(d.now)
 		}
 	}
@@ -58,7 +58,7 @@
 			continue
 		}
 		for _, s := range j.steps {
-			if spec := s.spec(); spec.Fills && s.unfinished > 0 {
+			if spec := s.spec(); spec.BestEffort && s.unfinished > 0 {
 				sums[spec.Image] += 0
 				if s.ready(d.now) {
 					sums[spec.Image] += int64(s.waiting) * spec.Resources.MilliCPU()
@@ -89,13 +89,13 @@
 	if idle <= 0 {
 		return
 	}
-	var latency []Serving
-	var bestEffort []Filling
+	var latency []ServingTask
+	var bestEffort []BestEffortTask
 	if d.config.Pacer != nil {
 		latency, bestEffort = w.latencyTasks(d.now), w.bestEffortTasks()
 	}
 	for _, i := range images {
-		if d.config.Pacer == nil || d.config.Pacer.Share(w.id, i.image, typicalCores, latency, bestEffort) >= minRoomShare {
+		if d.config.Pacer == nil || d.config.Pacer.SpeedFraction(w.id, i.image, typicalCores, latency, bestEffort) >= minRoomShare {
 			rooms[i.image] += idle
 		}
 	}
--- a/dispatcher/order.go
+++ b/dispatcher/order.go
@@ -7,8 +7,8 @@
 	"briarspring"
 )
 
-// Answered processes a worker's verdict on an order.
-func (d *Dispatcher) Answered(now time.Duration, o Order, v briarspring.Verdict) {
+// HandleVerdict processes a worker's verdict on an order.
+func (d *Dispatcher) HandleVerdict(now time.Duration, o Order, v briarspring.Verdict) {
 	d.now = now
 	if v == briarspring.VerdictSuperseded {
 		d.logger.Warn("worker accepted a newer token", "worker", o.Worker, "token", d.config.Token)
@@ -27,7 +27,7 @@
 	case OrderStart:
 		d.startAnswered(w, r, v)
 	case OrderStop:
-		if v == briarspring.VerdictDone || v == briarspring.VerdictBarred {
+		if v == briarspring.VerdictDone || v == briarspring.VerdictStaleRun {
 			r.stopAnsweredAt = now
 		}
 	case OrderPace:
--- a/dispatcher/pace.go
+++ b/dispatcher/pace.go
@@ -40,8 +40,8 @@
 	if d.logger.IsDebug() {
 		d.logger.Debug("reading", "worker", w.id, "serving", fmt.Sprint(latency), "filling", fmt.Sprint(bestEffort), "uses", w.describeUsage())
 	}
-	w.interference = slices.ContainsFunc(bestEffort, func(f Filling) bool {
-		return f.Percent > 0 && d.config.Pacer.Presses(f.Image, latency)
+	w.interference = slices.ContainsFunc(bestEffort, func(f BestEffortTask) bool {
+		return f.Percent > 0 && d.config.Pacer.Interferes(f.Image, latency)
 	})
 	for _, p := range d.config.Pacer.Decide(d.now, w.id, latency, bestEffort) {
 		r := w.runs[p.Run]
@@ -81,7 +81,7 @@
 func (d *Dispatcher) stopSlowed(w *worker) {
 	for _, r := range w.runs {
 		spec := r.task.step.spec()
-		if !spec.Fills || r.stopping || r.pace > slowPercent || r.state != runAlive {
+		if !spec.BestEffort || r.stopping || r.pace > slowPercent || r.state != runAlive {
 			continue
 		}
 		slowed := d.now - r.slowedAt
@@ -132,35 +132,35 @@
 
 // latencyTasks returns the long-running tasks with a latency target on a
 // worker.
-func (w *worker) latencyTasks(now time.Duration) []Serving {
-	var list []Serving
+func (w *worker) latencyTasks(now time.Duration) []ServingTask {
+	var list []ServingTask
 	for _, r := range w.runs {
 		spec := r.task.step.spec()
-		if !spec.Lasting || spec.TailTarget <= 0 || r.state != runAlive {
+		if !spec.LongRunning || spec.TailTarget <= 0 || r.state != runAlive {
 			continue
 		}
 		tail := r.usage / float64(spec.TailTarget.Milliseconds())
-		list = append(list, Serving{Image: spec.Image, Tail: tail, Marked: r.usage > 0 && now-r.usageAt < staleReading})
+		list = append(list, ServingTask{Image: spec.Image, TailRatio: tail, Measured: r.usage > 0 && now-r.usageAt < staleReading})
 	}
-	slices.SortFunc(list, func(a, b Serving) int {
-		return cmp.Or(cmp.Compare(a.Image, b.Image), cmp.Compare(a.Tail, b.Tail))
+	slices.SortFunc(list, func(a, b ServingTask) int {
+		return cmp.Or(cmp.Compare(a.Image, b.Image), cmp.Compare(a.TailRatio, b.TailRatio))
 	})
 	return list
 }
 
 // bestEffortTasks returns the best-effort tasks on a worker.
-func (w *worker) bestEffortTasks() []Filling {
-	var list []Filling
+func (w *worker) bestEffortTasks() []BestEffortTask {
+	var list []BestEffortTask
 	for _, r := range w.runs {
 		spec := r.task.step.spec()
-		if !spec.Fills || r.stopping || r.state != runAlive {
+		if !spec.BestEffort || r.stopping || r.state != runAlive {
 			continue
 		}
-		list = append(list, Filling{
+		list = append(list, BestEffortTask{
 			Run: r.ref, Image: spec.Image, Cores: float64(spec.Resources.MilliCPU()) / briarspring.MilliCPUPerCore, Used: r.usage / briarspring.MilliCPUPerCore, Percent: r.pace, Progress: r.progress,
 		})
 	}
-	slices.SortFunc(list, func(a, b Filling) int {
+	slices.SortFunc(list, func(a, b BestEffortTask) int {
 		return cmp.Or(
 			cmp.Compare(a.Run.Task.Workflow, b.Run.Task.Workflow),
 			cmp.Compare(a.Run.Task.Step, b.Run.Task.Step),
@@ -175,7 +175,7 @@
 func (w *worker) describeUsage() string {
 	var list []string
 	for _, r := range w.runs {
-		if !r.task.step.spec().Lasting {
+		if !r.task.step.spec().LongRunning {
 			list = append(list, fmt.Sprintf("%s:%.2f/%d%%", r.task.step.spec().Image, r.usage, r.progress))
 		}
 	}
--- a/dispatcher/plan.go
+++ b/dispatcher/plan.go
@@ -69,8 +69,8 @@
 	return orders
 }
 
-// Tick makes the next call of Plan recompute all assignments.
-func (d *Dispatcher) Tick() { d.needsPlan = true }
+// ForcePlan makes the next call of Plan recompute all assignments.
+func (d *Dispatcher) ForcePlan() { d.needsPlan = true }
 
 // PlanInterval returns the longest time between two plans.
 func PlanInterval() time.Duration { return planInterval }
@@ -102,7 +102,7 @@
 			}
 			c := candidate{step: s, slack: s.due + j.workflow.Objective() - d.now - d.expectedChainTime(j, s.number)}
 			c.workPerValue = d.workPerValue(s, c.slack)
-			if s.spec().Fills {
+			if s.spec().BestEffort {
 				bestEffort = append(bestEffort, c)
 			} else {
 				reserved = append(reserved, c)
@@ -132,7 +132,7 @@
 	switch {
 	case s.spec().Gang:
 		d.assignGang(s)
-	case s.spec().Fills:
+	case s.spec().BestEffort:
 		d.assignBestEffort(s)
 	default:
 		d.assignReserved(s)
@@ -203,7 +203,7 @@
 }
 
 func late(c candidate) int {
-	if c.slack < 0 && !c.step.spec().Lasting {
+	if c.slack < 0 && !c.step.spec().LongRunning {
 		return 1
 	}
 	return 0
@@ -252,7 +252,7 @@
 // exhausted reports whether the task has failed too often to start again.
 func (d *Dispatcher) exhausted(t *task) bool {
 	most := t.step.job.workflow.MaxAttempts
-	return !t.step.spec().Lasting && most > 0 && t.failures() >= most
+	return !t.step.spec().LongRunning && most > 0 && t.failures() >= most
 }
 
 // fits reports whether a task may run on a worker and has room there.
@@ -321,7 +321,7 @@
 	for _, r := range w.runs {
 		spec := r.task.step.spec()
 		switch {
-		case !spec.Lasting:
+		case !spec.LongRunning:
 		case spec.Image == image:
 			same++
 		default:
@@ -334,7 +334,7 @@
 func (d *Dispatcher) reservedCost(t *task, w *worker) float64 {
 	spec := t.step.spec()
 	cost := float64(w.free().MilliCPU())
-	if spec.Lasting {
+	if spec.LongRunning {
 		same, others := w.countLongRunning(spec.Image)
 		cost = -freeWeight*cost + spreadCost*float64(t.step.spread[w]) + mixCost*float64(others) - groupGain*float64(same)
 	}
@@ -451,7 +451,7 @@
 	spec := t.step.spec()
 	cores := float64(spec.Resources.MilliCPU()) / briarspring.MilliCPUPerCore
 	latency := w.latencyTasks(d.now)
-	return d.config.Pacer.Share(w.id, spec.Image, cores, latency, w.bestEffortTasks()), d.config.Pacer.Burden(latency)
+	return d.config.Pacer.SpeedFraction(w.id, spec.Image, cores, latency, w.bestEffortTasks()), d.config.Pacer.InterferingFraction(latency)
 }
 
 // bestEffortCost returns a cost that grows with the share of processors in use.
--- a/dispatcher/preempt.go
+++ b/dispatcher/preempt.go
@@ -42,7 +42,7 @@
 		switch {
 		case r.stopping:
 			missingMiB -= reservation(r.task.step.spec()).MemoryMiB()
-		case r.task.step.spec().Fills:
+		case r.task.step.spec().BestEffort:
 			bestEffort = append(bestEffort, r)
 		}
 	}
--- a/dispatcher/runs.go
+++ b/dispatcher/runs.go
@@ -52,7 +52,7 @@
 	if r.stopping {
 		info.State = stateStopping
 	}
-	if spec.Lasting && spec.TailTarget > 0 {
+	if spec.LongRunning && spec.TailTarget > 0 {
 		info.Tail = r.usage / float64(spec.TailTarget.Milliseconds())
 	}
 	return info
--- a/dispatcher/straggler.go
+++ b/dispatcher/straggler.go
@@ -6,8 +6,8 @@
 
 const (
 	// stallTime is the time without progress after which a run counts as
-	// stalled. The shortest tasks in the data sheets take 0.6 s on average, so
-	// a run at full speed reports progress several times in this time.
+	// stalled. The shortest tasks take 0.6 s on average, so a run at full speed
+	// reports progress several times in this time.
 	stallTime = 1500 * time.Millisecond
 	// stallPace is the lowest pace in percent at which progress is expected.
 	stallPace = 50
@@ -27,7 +27,7 @@
 func (d *Dispatcher) stopStalled(w *worker) {
 	for _, r := range w.runs {
 		spec := r.task.step.spec()
-		if spec.Lasting || r.stopping || !r.listed || r.pace < stallPace || d.now-r.progressAt < stallTime {
+		if spec.LongRunning || r.stopping || !r.listed || r.pace < stallPace || d.now-r.progressAt < stallTime {
 			continue
 		}
 		if d.now-r.paceChangedAt < stallTime || spec.Gang && !r.task.step.atSpeed(d.now) {
@@ -43,7 +43,7 @@
 // expected, where the step allows copies. It guards urgent work against slow
 // workers.
 func (d *Dispatcher) startCopies(s *step) {
-	if !s.spec().Speculative || s.spec().Fills || s.spec().Gang || s.unfinished == 0 {
+	if !s.spec().Speculative || s.spec().BestEffort || s.spec().Gang || s.unfinished == 0 {
 		return
 	}
 	limit := time.Duration(copyFactor*float64(d.expectedRunTime(s))) + copyDelay
--- a/dispatcher/transfer.go
+++ b/dispatcher/transfer.go
@@ -84,7 +84,7 @@
 			continue
 		}
 		spec := t.step.spec()
-		if spec.Lasting && !spec.Gang {
+		if spec.LongRunning && !spec.Gang {
 			if t.pending() && (d.outOfService || d.now-t.readySince > longRunningWait) {
 				tasks = append(tasks, t)
 				due = true
@@ -95,7 +95,7 @@
 			return nil
 		}
 		tasks = append(tasks, t)
-		if t.pending() && t.step.ready(d.now) && (d.outOfService || !spec.Fills && !spec.Lasting && d.now-t.readySince > reservedWait) {
+		if t.pending() && t.step.ready(d.now) && (d.outOfService || !spec.BestEffort && !spec.LongRunning && d.now-t.readySince > reservedWait) {
 			due = true
 		}
 	}
@@ -134,9 +134,9 @@
 
 // Place is the recorded location of a task.
 type Place struct {
-	Mine    bool                     // This data centre runs it.
-	Moves   int                      // Number of transfers so far.
-	Brought briarspring.TaskProgress // Progress that came with the last transfer.
+	Local     bool                     // This data centre runs it.
+	Transfers int                      // Number of transfers so far.
+	Progress  briarspring.TaskProgress // Progress that came with the last transfer.
 }
 
 // setPlaces sets which of the job's tasks this data centre runs.
@@ -144,16 +144,16 @@
 	j.transferredAway = true
 	for _, t := range j.tasks {
 		p := place(t.position)
-		t.local, t.transfers = p.Mine, p.Moves
+		t.local, t.transfers = p.Local, p.Transfers
 		j.transferredAway = j.transferredAway && !t.local
 	}
 }
 
-// Moved applies the recorded transfers of a workflow's tasks. Tasks that were
-// transferred away are not started here any more, and a workflow without any
-// local task is dropped. A task may have left and come back since the last
-// call.
-func (d *Dispatcher) Moved(now time.Duration, id briarspring.WorkflowID, place func(position int) Place) {
+// ApplyTransfers applies the recorded transfers of a workflow's tasks. Tasks
+// that were transferred away are not started here any more, and a workflow
+// without any local task is dropped. A task may have left and come back since
+// the last call.
+func (d *Dispatcher) ApplyTransfers(now time.Duration, id briarspring.WorkflowID, place func(position int) Place) {
 	d.now = now
 	j := d.jobs[id]
 	if j == nil {
@@ -162,16 +162,16 @@
 	moved, arrived := 0, 0
 	for _, t := range j.tasks {
 		p := place(t.position)
-		if p.Moves == t.transfers {
+		if p.Transfers == t.transfers {
 			continue
 		}
 		moved++
 		t.transferring = false
-		if p.Mine {
+		if p.Local {
 			arrived++
 			t.readySince = now
-			p.Brought.Worker = ""
-			d.restoreProgress(j, p.Brought)
+			p.Progress.Worker = ""
+			d.restoreProgress(j, p.Progress)
 		}
 	}
 	if moved == 0 {
--- a/dispatcher/transfer_test.go
+++ b/dispatcher/transfer_test.go
@@ -14,12 +14,12 @@
 func TestTransfers(t *testing.T) {
 	elsewhere := func(*briarspring.Step) string { return "viljandi" }
 	service := step(2, 1000)
-	service.Lasting = true
+	service.LongRunning = true
 	t.Run("of single tasks of a long-running workflow", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		s.d.Submit(s.now, 0, workflow("a", service), 5, nil, nil)
 		run := starts(s.planAndApply())["w0"][0]
-		s.d.SetOut(s.now, true)
+		s.d.SetOutOfService(s.now, true)
 		s.endRun("w0", run, briarspring.RunFailed)
 		s.renewAll()
 		list := s.d.TakeTransfers(s.now, elsewhere)
@@ -32,11 +32,11 @@
 	t.Run("and back before the dropping is stored", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 		s.d.Submit(s.now, 0, workflow("a", service), 5, nil, nil)
-		s.d.Moved(s.now, "a", func(int) dispatcher.Place { return dispatcher.Place{Moves: 1} })
+		s.d.ApplyTransfers(s.now, "a", func(int) dispatcher.Place { return dispatcher.Place{Transfers: 1} })
 		batch, due := s.d.TakeBatch()
 		require.True(t, due)
-		s.d.Moved(s.now, "a", func(position int) dispatcher.Place {
-			return dispatcher.Place{Mine: true, Moves: 2, Brought: briarspring.TaskProgress{Position: position, Run: 4}}
+		s.d.ApplyTransfers(s.now, "a", func(position int) dispatcher.Place {
+			return dispatcher.Place{Local: true, Transfers: 2, Progress: briarspring.TaskProgress{Position: position, Run: 4}}
 		})
 		s.d.Stored(batch)
 		list := starts(s.planAndApply())["w0"]
@@ -53,7 +53,7 @@
 	old.d.Submit(old.now, 0, workflow("a", step(1, 1000)), 5, nil, nil)
 	old.planAndApply()
 	s := old.successor(9)
-	s.d.SetOut(s.now, true)
+	s.d.SetOutOfService(s.now, true)
 	s.d.Submit(s.now, 0, workflow("a", step(1, 1000)), 5, nil, nil)
 	s.planAndApply()
 	assert.Empty(t, s.d.TakeTransfers(s.now, elsewhere), "no worker is known")
@@ -70,7 +70,7 @@
 func TestTaskThatLeftAndCameBack(t *testing.T) {
 	s := newFixture(t, dispatcher.Config{Token: 1}, 1)
 	service := step(1, 9000) // More than the worker has.
-	service.Lasting = true
+	service.LongRunning = true
 	s.d.Submit(s.now, 0, workflow("a", service), 5, nil, nil)
 	assert.Empty(t, starts(s.planAndApply()))
 	elsewhere := func(*briarspring.Step) string { return "viljandi" }
@@ -78,7 +78,7 @@
 	require.Len(t, s.d.TakeTransfers(s.now, elsewhere), 1)
 	s.now += time.Second
 	require.Empty(t, s.d.TakeTransfers(s.now, elsewhere), "one is on its way")
-	s.d.Moved(s.now, "a", func(int) dispatcher.Place { return dispatcher.Place{Mine: true, Moves: 2} })
+	s.d.ApplyTransfers(s.now, "a", func(int) dispatcher.Place { return dispatcher.Place{Local: true, Transfers: 2} })
 	s.now += time.Second
 	assert.Len(t, s.d.TakeTransfers(s.now, elsewhere), 1)
 }
--- a/dispatcher/trust.go
+++ b/dispatcher/trust.go
@@ -48,7 +48,7 @@
 	if r == nil || r.state != runAlive || r.stopping || d.now-r.startAnsweredAt < probeTime {
 		return
 	}
-	if r.progress == 0 || r.task.step.spec().Lasting && r.progress != atWork {
+	if r.progress == 0 || r.task.step.spec().LongRunning && r.progress != atWork {
 		return
 	}
 	w.failureStreak = 0
--- a/dispatcher/worker.go
+++ b/dispatcher/worker.go
@@ -221,11 +221,11 @@
 // bestEffortCPU.
 func (w *worker) reserve(spec *briarspring.Step) (bestEffortCPU int64) {
 	w.reserved = w.reserved.Add(reservation(spec))
-	if spec.Fills {
+	if spec.BestEffort {
 		bestEffortCPU = spec.Resources.MilliCPU()
 	}
 	w.bestEffortCPU += bestEffortCPU
-	if spec.Lasting {
+	if spec.LongRunning {
 		w.longRunningCPU += spec.Resources.MilliCPU()
 	}
 	return bestEffortCPU
@@ -236,7 +236,7 @@
 func (w *worker) release(spec *briarspring.Step, bestEffortCPU int64) {
 	w.reserved = w.reserved.Sub(reservation(spec))
 	w.bestEffortCPU -= bestEffortCPU
-	if spec.Lasting {
+	if spec.LongRunning {
 		w.longRunningCPU -= spec.Resources.MilliCPU()
 	}
 }
@@ -256,7 +256,7 @@
 // reservation returns what a task reserves of a worker's capacity. Best-effort
 // tasks reserve no processors.
 func reservation(s *briarspring.Step) briarspring.Resources {
-	if !s.Fills {
+	if !s.BestEffort {
 		return s.Resources
 	}
 	return briarspring.NewResources(briarspring.ResourcesConfig{
--- a/dispatcher/worker_test.go
+++ b/dispatcher/worker_test.go
@@ -26,7 +26,7 @@
 
 func longRunning(tasks int, milliCPU int64) briarspring.Step {
 	s := step(tasks, milliCPU)
-	s.Lasting, s.Estimate = true, 0
+	s.LongRunning, s.Estimate = true, 0
 	return s
 }
 
--- a/encoder/command.go
+++ b/encoder/command.go
@@ -38,7 +38,7 @@
 	c := briarspring.Command{RequestID: m.GetRequestId(), ExpectedVersion: m.GetExpectedVersion()}
 	change, err := decodeChange(m)
 	if err != nil {
-		return briarspring.Command{}, &MalformedError{What: "command", Cause: err}
+		return briarspring.Command{}, &MalformedError{Input: "command", Cause: err}
 	}
 	c.Change = change
 	return c, nil
--- a/encoder/encoder.go
+++ b/encoder/encoder.go
@@ -14,22 +14,22 @@
 
 // MalformedError is the error for input bytes that can't be decoded.
 type MalformedError struct {
-	What  string // Kind of the input, such as "record".
+	Input string // Kind of the input, such as "record".
 	Cause error
 }
 
 // Error implements error.
-func (e *MalformedError) Error() string { return fmt.Sprintf("malformed %s: %v", e.What, e.Cause) }
+func (e *MalformedError) Error() string { return fmt.Sprintf("malformed %s: %v", e.Input, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
 func malformed(what, format string, args ...any) error {
-	return &MalformedError{What: what, Cause: fmt.Errorf(format, args...)}
+	return &MalformedError{Input: what, Cause: fmt.Errorf(format, args...)}
 }
 
-// Record encodes a log record.
-func Record(r briarspring.Record) ([]byte, error) {
+// EncodeRecord encodes a log record.
+func EncodeRecord(r briarspring.Record) ([]byte, error) {
 	m := &pb.Record{
 		Writer:      r.Writer.Name,
 		Incarnation: r.Writer.Incarnation,
@@ -73,7 +73,7 @@
 func DecodeRecord(data []byte) (briarspring.Record, error) {
 	var m pb.Record
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return briarspring.Record{}, &MalformedError{What: "record", Cause: err}
+		return briarspring.Record{}, &MalformedError{Input: "record", Cause: err}
 	}
 	r := briarspring.Record{
 		Writer:   briarspring.Writer{Name: m.GetWriter(), Incarnation: m.GetIncarnation()},
--- a/encoder/encoder_test.go
+++ b/encoder/encoder_test.go
@@ -60,7 +60,7 @@
 func TestRecordRoundTrip(t *testing.T) {
 	for _, body := range sampleBodies(t) {
 		r := briarspring.Record{Writer: briarspring.Writer{Name: "w", Incarnation: 3}, Sequence: 4, Body: body}
-		data, err := encoder.Record(r)
+		data, err := encoder.EncodeRecord(r)
 		require.NoError(t, err)
 		got, err := encoder.DecodeRecord(data)
 		require.NoError(t, err)
@@ -100,7 +100,7 @@
 // and that every record that it accepts survives encoding and decoding.
 func FuzzDecodeRecord(f *testing.F) {
 	for _, body := range sampleBodies(f) {
-		data, err := encoder.Record(briarspring.Record{Writer: briarspring.Writer{Name: "w"}, Body: body})
+		data, err := encoder.EncodeRecord(briarspring.Record{Writer: briarspring.Writer{Name: "w"}, Body: body})
 		require.NoError(f, err)
 		f.Add(data)
 	}
@@ -109,7 +109,7 @@
 		if err != nil {
 			return
 		}
-		encoded, err := encoder.Record(r)
+		encoded, err := encoder.EncodeRecord(r)
 		require.NoError(t, err)
 		decoded, err := encoder.DecodeRecord(encoded)
 		require.NoError(t, err)
--- a/encoder/workflow.go
+++ b/encoder/workflow.go
@@ -12,9 +12,9 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// Submission encodes an accepted workflow, without its ID, which is the key of
-// the record.
-func Submission(w *briarspring.Workflow) ([]byte, error) {
+// EncodeSubmission encodes an accepted workflow, without its ID, which is the
+// key of the record.
+func EncodeSubmission(w *briarspring.Workflow) ([]byte, error) {
 	m := &pb.Submission{
 		Queue: w.Queue, Service: w.Service, Specification: w.Specification,
 		Priority: int32(w.Priority), MaxAttempts: int32(w.MaxAttempts), Stretch: w.Stretch,
@@ -42,7 +42,7 @@
 	}
 	r, err := briarspring.NewRecurrence(int(m.Times), m.FirstDueMs, m.IntervalMs)
 	if err != nil {
-		return r, &MalformedError{What: "workflow", Cause: err}
+		return r, &MalformedError{Input: "workflow", Cause: err}
 	}
 	return r, nil
 }
@@ -62,7 +62,7 @@
 		Accelerators: s.Resources.Accelerators(), EstimateMs: s.Estimate.Milliseconds(),
 		Requirement: s.Requirement, Rack: s.Rack, Image: s.Image, MaxPerWorker: int32(s.MaxPerWorker),
 		TailTargetUs: s.TailTarget.Microseconds(),
-		Checkpoints:  s.Checkpoints, Speculative: s.Speculative, Lasting: s.Lasting, Fills: s.Fills,
+		Checkpoints:  s.Checkpoints, Speculative: s.Speculative, Lasting: s.LongRunning, Fills: s.BestEffort,
 		Gang: s.Gang, OneRack: s.OneRack, MaxMissing: int32(s.MaxMissing),
 	}
 	for _, a := range s.After {
@@ -75,7 +75,7 @@
 func DecodeSubmission(id briarspring.WorkflowID, data []byte) (*briarspring.Workflow, error) {
 	var m pb.Submission
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return nil, &MalformedError{What: "submission", Cause: err}
+		return nil, &MalformedError{Input: "submission", Cause: err}
 	}
 	w := &briarspring.Workflow{
 		ID: id, Queue: m.Queue, Service: m.Service, Specification: m.Specification,
@@ -117,7 +117,7 @@
 		Estimate:    time.Duration(m.EstimateMs) * time.Millisecond,
 		Requirement: m.Requirement, Rack: m.Rack, Image: m.Image, MaxPerWorker: int(m.MaxPerWorker),
 		TailTarget:  time.Duration(m.TailTargetUs) * time.Microsecond,
-		Checkpoints: m.Checkpoints, Speculative: m.Speculative, Lasting: m.Lasting, Fills: m.Fills,
+		Checkpoints: m.Checkpoints, Speculative: m.Speculative, LongRunning: m.Lasting, BestEffort: m.Fills,
 		Gang: m.Gang, OneRack: m.OneRack, MaxMissing: int(m.MaxMissing),
 	}
 	if s.Tasks < 1 || s.Tasks > briarspring.MaxTasks {
@@ -135,16 +135,16 @@
 	return s, nil
 }
 
-// PhaseMark encodes a workflow's phase.
-func PhaseMark(p briarspring.Phase) ([]byte, error) {
+// EncodePhase encodes a workflow's phase.
+func EncodePhase(p briarspring.Phase) ([]byte, error) {
 	return proto.Marshal(&pb.PhaseMark{Phase: int32(p)})
 }
 
-// DecodePhaseMark decodes a workflow's phase; errors are *MalformedError.
-func DecodePhaseMark(data []byte) (briarspring.Phase, error) {
+// DecodePhase decodes a workflow's phase; errors are *MalformedError.
+func DecodePhase(data []byte) (briarspring.Phase, error) {
 	var m pb.PhaseMark
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return 0, &MalformedError{What: "phase", Cause: err}
+		return 0, &MalformedError{Input: "phase", Cause: err}
 	}
 	if m.Phase < 0 || m.Phase > int32(briarspring.PhaseCancelled) {
 		return 0, malformed("phase", "unknown phase %d", m.Phase)
@@ -152,8 +152,8 @@
 	return briarspring.Phase(m.Phase), nil
 }
 
-// DataCentreClaim encodes an owner's claim to a data centre.
-func DataCentreClaim(c briarspring.DataCentreClaim) ([]byte, error) {
+// EncodeDataCentreClaim encodes an owner's claim to a data centre.
+func EncodeDataCentreClaim(c briarspring.DataCentreClaim) ([]byte, error) {
 	return proto.Marshal(&pb.DataCentreClaim{
 		DataCentre: c.DataCentre, Previous: c.Previous, Owner: c.Owner, Incarnation: c.Incarnation,
 	})
@@ -164,43 +164,43 @@
 func DecodeDataCentreClaim(data []byte) (briarspring.DataCentreClaim, error) {
 	var m pb.DataCentreClaim
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return briarspring.DataCentreClaim{}, &MalformedError{What: "claim", Cause: err}
+		return briarspring.DataCentreClaim{}, &MalformedError{Input: "claim", Cause: err}
 	}
 	return briarspring.DataCentreClaim{
 		DataCentre: m.DataCentre, Previous: m.Previous, Owner: m.Owner, Incarnation: m.Incarnation,
 	}, nil
 }
 
-// OwnerBeat encodes an owner's heartbeat.
-func OwnerBeat(b briarspring.OwnerBeat) ([]byte, error) {
+// EncodeHeartbeat encodes an owner's heartbeat.
+func EncodeHeartbeat(b briarspring.OwnerHeartbeat) ([]byte, error) {
 	m := &pb.OwnerBeat{
 		Token: b.Token, BacklogMilliCpuSeconds: b.Backlog, FreeMilliCpu: b.Free, TotalMilliCpu: b.Total,
 		LargestMilliCpu: b.Largest,
 	}
-	for _, image := range slices.Sorted(maps.Keys(b.Rooms)) {
-		m.Rooms = append(m.Rooms, &pb.ImageRoom{Image: image, MilliCpu: b.Rooms[image]})
+	for _, image := range slices.Sorted(maps.Keys(b.IdleByImage)) {
+		m.Rooms = append(m.Rooms, &pb.ImageRoom{Image: image, MilliCpu: b.IdleByImage[image]})
 	}
 	return proto.Marshal(m)
 }
 
-// DecodeOwnerBeat decodes an owner's heartbeat; errors are *MalformedError.
-func DecodeOwnerBeat(data []byte) (briarspring.OwnerBeat, error) {
+// DecodeHeartbeat decodes an owner's heartbeat; errors are *MalformedError.
+func DecodeHeartbeat(data []byte) (briarspring.OwnerHeartbeat, error) {
 	var m pb.OwnerBeat
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return briarspring.OwnerBeat{}, &MalformedError{What: "beat", Cause: err}
+		return briarspring.OwnerHeartbeat{}, &MalformedError{Input: "beat", Cause: err}
 	}
-	b := briarspring.OwnerBeat{
+	b := briarspring.OwnerHeartbeat{
 		Token: m.Token, Backlog: m.BacklogMilliCpuSeconds, Free: m.FreeMilliCpu, Total: m.TotalMilliCpu,
-		Largest: m.LargestMilliCpu, Rooms: map[string]int64{},
+		Largest: m.LargestMilliCpu, IdleByImage: map[string]int64{},
 	}
 	for _, r := range m.Rooms {
-		b.Rooms[r.Image] = r.MilliCpu
+		b.IdleByImage[r.Image] = r.MilliCpu
 	}
 	return b, nil
 }
 
-// HostPresence encodes the presence record of a host process.
-func HostPresence(p briarspring.HostPresence) ([]byte, error) {
+// EncodeHostPresence encodes the presence record of a host process.
+func EncodeHostPresence(p briarspring.HostPresence) ([]byte, error) {
 	return proto.Marshal(&pb.HostPresence{DataCentre: p.DataCentre, Incarnation: p.Incarnation, MilliCpu: int32(p.MilliCPU)})
 }
 
@@ -209,13 +209,14 @@
 func DecodeHostPresence(data []byte) (briarspring.HostPresence, error) {
 	var m pb.HostPresence
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return briarspring.HostPresence{}, &MalformedError{What: "presence", Cause: err}
+		return briarspring.HostPresence{}, &MalformedError{Input: "presence", Cause: err}
 	}
 	return briarspring.HostPresence{DataCentre: m.DataCentre, Incarnation: m.Incarnation, MilliCPU: int(m.MilliCpu)}, nil
 }
 
-// RunProgress encodes the progress of those tasks of a workflow that have run.
-func RunProgress(tasks []briarspring.TaskProgress) ([]byte, error) {
+// EncodeRunProgress encodes the progress of those tasks of a workflow that have
+// run.
+func EncodeRunProgress(tasks []briarspring.TaskProgress) ([]byte, error) {
 	return proto.Marshal(&pb.WorkflowProgress{Tasks: encodeTaskProgress(tasks)})
 }
 
@@ -224,13 +225,13 @@
 func DecodeRunProgress(data []byte) ([]briarspring.TaskProgress, error) {
 	var m pb.WorkflowProgress
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return nil, &MalformedError{What: "progress", Cause: err}
+		return nil, &MalformedError{Input: "progress", Cause: err}
 	}
 	return decodeTaskProgress("progress", m.Tasks)
 }
 
-// TaskTransfer encodes a transfer of tasks between data centres.
-func TaskTransfer(t briarspring.TaskTransfer) ([]byte, error) {
+// EncodeTaskTransfer encodes a transfer of tasks between data centres.
+func EncodeTaskTransfer(t briarspring.TaskTransfer) ([]byte, error) {
 	return proto.Marshal(&pb.TaskTransfer{Token: t.Token, From: t.From, To: t.To, Tasks: encodeTaskProgress(t.Tasks)})
 }
 
@@ -239,7 +240,7 @@
 func DecodeTaskTransfer(data []byte) (briarspring.TaskTransfer, error) {
 	var m pb.TaskTransfer
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return briarspring.TaskTransfer{}, &MalformedError{What: "transfer", Cause: err}
+		return briarspring.TaskTransfer{}, &MalformedError{Input: "transfer", Cause: err}
 	}
 	tasks, err := decodeTaskProgress("transfer", m.Tasks)
 	return briarspring.TaskTransfer{Token: m.Token, From: m.From, To: m.To, Tasks: tasks}, err
@@ -270,8 +271,8 @@
 	return tasks, nil
 }
 
-// Retirement encodes an owner's retirement.
-func Retirement(r briarspring.Retirement) ([]byte, error) {
+// EncodeRetirement encodes an owner's retirement.
+func EncodeRetirement(r briarspring.Retirement) ([]byte, error) {
 	m := &pb.Retirement{Token: r.Token}
 	for _, w := range r.Silent {
 		m.Silent = append(m.Silent, &pb.SilentWorker{Worker: w.Worker, LeaseLeftMs: w.LeaseLeft.Milliseconds()})
@@ -283,7 +284,7 @@
 func DecodeRetirement(data []byte) (briarspring.Retirement, error) {
 	var m pb.Retirement
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return briarspring.Retirement{}, &MalformedError{What: "retirement", Cause: err}
+		return briarspring.Retirement{}, &MalformedError{Input: "retirement", Cause: err}
 	}
 	r := briarspring.Retirement{Token: m.Token}
 	for _, w := range m.Silent {
@@ -294,8 +295,9 @@
 	return r, nil
 }
 
-// PressModels encodes the interference models that an owner has learned.
-func PressModels(models []briarspring.PressModel) ([]byte, error) {
+// EncodeInterferenceModels encodes the interference models that an owner has
+// learned.
+func EncodeInterferenceModels(models []briarspring.InterferenceModel) ([]byte, error) {
 	m := &pb.PressModels{}
 	for _, model := range models {
 		message := &pb.PressModel{Serving: model.Serving, Constant: model.Constant}
@@ -307,21 +309,21 @@
 	return proto.Marshal(m)
 }
 
-// DecodePressModels decodes the interference models that an owner has learned;
-// errors are *MalformedError.
-func DecodePressModels(data []byte) ([]briarspring.PressModel, error) {
+// DecodeInterferenceModels decodes the interference models that an owner has
+// learned; errors are *MalformedError.
+func DecodeInterferenceModels(data []byte) ([]briarspring.InterferenceModel, error) {
 	var m pb.PressModels
 	if err := proto.Unmarshal(data, &m); err != nil {
-		return nil, &MalformedError{What: "model", Cause: err}
+		return nil, &MalformedError{Input: "model", Cause: err}
 	}
-	var models []briarspring.PressModel
+	var models []briarspring.InterferenceModel
 	for _, message := range m.Models {
-		model := briarspring.PressModel{Serving: message.Serving, Constant: message.Constant}
+		model := briarspring.InterferenceModel{Serving: message.Serving, Constant: message.Constant}
 		for _, p := range message.Pairs {
 			if !(p.Variance > 0) || math.IsNaN(p.Rise) || math.IsInf(p.Rise, 0) {
 				return nil, malformed("model", "invalid rise %g or variance %g", p.Rise, p.Variance)
 			}
-			model.Pairs = append(model.Pairs, briarspring.PressPair{Image: p.Image, Rise: p.Rise, Variance: p.Variance})
+			model.Pairs = append(model.Pairs, briarspring.InterferencePair{Image: p.Image, Rise: p.Rise, Variance: p.Variance})
 		}
 		models = append(models, model)
 	}
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -31,11 +31,11 @@
 // Item is a snapshot to restore, a record to apply, or a marker that every
 // record readable at a point in time has been delivered.
 type Item struct {
-	Snapshot []byte // When not nil, the state to restore.
-	Offset   uint64 // Offset of the record, or the last one that the snapshot covers.
-	Record   briarspring.Record
-	Bad      error     // Why the record can't be decoded; the caller skips its offset.
-	CaughtUp time.Time // When not zero, every record readable at that time was delivered.
+	Snapshot  []byte // When not nil, the state to restore.
+	Offset    uint64 // Offset of the record, or the last one that the snapshot covers.
+	Record    briarspring.Record
+	DecodeErr error     // Why the record can't be decoded; the caller skips its offset.
+	CaughtUp  time.Time // When not zero, every record readable at that time was delivered.
 }
 
 // Config holds the settings of a Follower.
@@ -155,7 +155,7 @@
 	record, err := encoder.DecodeRecord(e.Record)
 	if err != nil {
 		f.config.Logger.Error("record can't be decoded", "stream", f.config.Stream, "offset", e.Offset, "error", err)
-		item.Bad = err
+		item.DecodeErr = err
 	} else {
 		item.Record = record
 	}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -28,12 +28,12 @@
 	MaxBuffered    int64   // Bytes of all request bodies held in memory.
 	RetryShare     float64 // Retries allowed per new request.
 	CallerRate     float64 // Requests per second from one caller's address; zero for no limit.
-	Elsewhere      []Elsewhere
+	RemoteGateways []RemoteGateway
 	Logger         hclog.Logger
 }
 
-// Elsewhere is a gateway in another data centre.
-type Elsewhere struct {
+// RemoteGateway is a gateway in another data centre.
+type RemoteGateway struct {
 	DataCentre string
 	Address    string // "IP:port".
 }
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -84,7 +84,7 @@
 
 func newGateway(t *testing.T, change func(*forwarder.Config), executors ...router.Executor) (*forwarder.Forwarder, string) {
 	c := forwarder.Config{
-		Router:         router.Config{QueueLength: 4, Seats: 1},
+		Router:         router.Config{QueueLength: 4, GatewayCount: 1},
 		DefaultTimeout: time.Second, MaxTimeout: 5 * time.Second,
 		MaxBody: 1 << 20, MaxBuffered: 16 << 20, RetryShare: 0.5,
 	}
@@ -93,7 +93,7 @@
 	}
 	f := forwarder.New(c)
 	f.Apply(forwarder.Update{
-		Whole: true, Executors: executors,
+		Snapshot: true, Executors: executors,
 		Services: []forwarder.Service{{Name: "ledger", Team: "counter", Prefix: "/ledger/"}},
 	})
 	server := httptest.NewServer(f)
@@ -330,9 +330,9 @@
 		echo(u, rw, r)
 	})
 	var urls []string
-	for seat := range gateways {
+	for gateway := range gateways {
 		e := u.executor("a")
-		_, url := newGateway(t, func(c *forwarder.Config) { c.Router.Seat, c.Router.Seats = seat, gateways }, e)
+		_, url := newGateway(t, func(c *forwarder.Config) { c.Router.GatewayIndex, c.Router.GatewayCount = gateway, gateways }, e)
 		urls = append(urls, url)
 	}
 	var callers sync.WaitGroup
@@ -390,9 +390,9 @@
 func TestOlderStateIsIgnored(t *testing.T) {
 	u := newUpstream(t, echo)
 	f, _ := newGateway(t, nil)
-	assert.True(t, f.Apply(forwarder.Update{ConfigOffset: 9, PlacementOffset: 9, Whole: true, Executors: []router.Executor{u.executor("a")}}))
-	assert.False(t, f.Apply(forwarder.Update{ConfigOffset: 8, PlacementOffset: 9, Whole: true}))
-	assert.False(t, f.Apply(forwarder.Update{ConfigOffset: 9, PlacementOffset: 8, Whole: true}))
+	assert.True(t, f.Apply(forwarder.Update{ConfigOffset: 9, PlacementOffset: 9, Snapshot: true, Executors: []router.Executor{u.executor("a")}}))
+	assert.False(t, f.Apply(forwarder.Update{ConfigOffset: 8, PlacementOffset: 9, Snapshot: true}))
+	assert.False(t, f.Apply(forwarder.Update{ConfigOffset: 9, PlacementOffset: 8, Snapshot: true}))
 	assert.Len(t, f.Executors(), 1)
 }
 
@@ -415,7 +415,7 @@
 	_, far := newGateway(t, nil, u.executor("a"))
 	near := func(t *testing.T, address string) string {
 		_, url := newGateway(t, func(c *forwarder.Config) {
-			c.Elsewhere = []forwarder.Elsewhere{{DataCentre: "voru", Address: strings.TrimPrefix(address, "http://")}}
+			c.RemoteGateways = []forwarder.RemoteGateway{{DataCentre: "voru", Address: strings.TrimPrefix(address, "http://")}}
 		})
 		return url
 	}
--- a/forwarder/remote.go
+++ b/forwarder/remote.go
@@ -16,7 +16,7 @@
 	if q.forwarded || refused.status != http.StatusServiceUnavailable {
 		return false
 	}
-	for _, e := range f.config.Elsewhere {
+	for _, e := range f.config.RemoteGateways {
 		if ctx.Err() != nil {
 			return false
 		}
@@ -32,7 +32,7 @@
 // sendToRemote sends a call to a gateway of another data centre. It reports
 // whether the caller got a response, which is not so if nothing was sent or the
 // other gateway did not run the request.
-func (f *Forwarder) sendToRemote(ctx context.Context, rw http.ResponseWriter, r *http.Request, q *call, e Elsewhere) bool {
+func (f *Forwarder) sendToRemote(ctx context.Context, rw http.ResponseWriter, r *http.Request, q *call, e RemoteGateway) bool {
 	var sent atomic.Bool
 	out, err := f.outgoingRequest(ctx, r, q, e.Address, &attempt{})
 	if err != nil {
--- a/forwarder/serve.go
+++ b/forwarder/serve.go
@@ -140,7 +140,7 @@
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.router.Note(a, outcome, now)
+	f.router.RecordResult(a, outcome, now)
 	f.wake(f.router.Release(a, now))
 }
 
@@ -148,7 +148,7 @@
 func (f *Forwarder) recordResult(a router.Assignment, outcome router.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.router.Note(a, outcome, time.Now())
+	f.router.RecordResult(a, outcome, time.Now())
 }
 
 // releaseSlot releases a slot whose result has been recorded.
--- a/forwarder/state.go
+++ b/forwarder/state.go
@@ -15,7 +15,7 @@
 type Update struct {
 	ConfigOffset    uint64
 	PlacementOffset uint64
-	Whole           bool // Executors that are not listed are removed.
+	Snapshot        bool // Executors that are not listed are removed.
 	Services        []Service
 	Executors       []router.Executor // New or changed.
 	Removed         []string
@@ -33,7 +33,7 @@
 	f.state = State{ConfigOffset: u.ConfigOffset, PlacementOffset: u.PlacementOffset, Updated: time.Now()}
 	f.setServices(u.Services)
 	f.setQuotas(u.Quotas)
-	if u.Whole {
+	if u.Snapshot {
 		f.removeExcept(u.Executors)
 	}
 	for _, e := range u.Executors {
@@ -60,7 +60,7 @@
 func (f *Forwarder) Executors() []router.Executor {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.router.Known()
+	return f.router.Executors()
 }
 
 func (f *Forwarder) setServices(services []Service) {
@@ -88,7 +88,7 @@
 
 func (f *Forwarder) putExecutor(e router.Executor) {
 	f.router.Put(e)
-	share := router.Share(e.Connections, e.Number, f.config.Router.Seat, max(f.config.Router.Seats, 1))
+	share := router.Share(e.Connections, e.Number, f.config.Router.GatewayIndex, max(f.config.Router.GatewayCount, 1))
 	b := f.connLimits[e.Address]
 	if b == nil {
 		f.connLimits[e.Address] = &connLimit{limit: share}
@@ -98,7 +98,7 @@
 }
 
 func (f *Forwarder) removeExecutor(id string) {
-	for _, e := range f.router.Known() {
+	for _, e := range f.router.Executors() {
 		if e.ID == id {
 			delete(f.connLimits, e.Address)
 		}
@@ -111,7 +111,7 @@
 	for _, e := range keep {
 		kept[e.ID] = true
 	}
-	for _, e := range f.router.Known() {
+	for _, e := range f.router.Executors() {
 		if !kept[e.ID] {
 			f.removeExecutor(e.ID)
 		}
--- a/generator/generator.go
+++ b/generator/generator.go
@@ -46,13 +46,13 @@
 
 // Result holds the outcomes and latencies of an arm's requests.
 type Result struct {
-	Name    string
-	Sent    uint64
-	Served  uint64
-	NotRun  uint64
-	Unknown uint64 // The outcome is unknown, or the connection failed.
-	Wrong   uint64 // Answers to another request, or truncated.
-	IDs     map[string]briarspring.Outcome
+	Name           string
+	Sent           uint64
+	Served         uint64
+	NotRun         uint64
+	Unknown        uint64 // The outcome is unknown, or the connection failed.
+	InvalidAnswers uint64 // Answers to another request, or truncated.
+	IDs            map[string]briarspring.Outcome
 
 	mu        sync.Mutex
 	latencies *hdrhistogram.Histogram
@@ -127,7 +127,7 @@
 	r.IDs[id] = outcome
 	switch {
 	case wrong:
-		r.Wrong++
+		r.InvalidAnswers++
 	case outcome == briarspring.OutcomeServed:
 		r.Served++
 		_ = r.latencies.RecordValue(min(took, maxLatency).Microseconds())
@@ -176,10 +176,10 @@
 	return strings.Contains(answer, want)
 }
 
-// Doubled returns the ids of requests that executors ran more often than their
-// outcome allows: non-idempotent requests that ran more than once, and requests
-// that ran although they were answered not-run.
-func Doubled(results []*Result, runs map[string]uint32, idempotent bool) []string {
+// ImproperRuns returns the ids of requests that executors ran more often than
+// their outcome allows: non-idempotent requests that ran more than once, and
+// requests that ran although they were answered not-run.
+func ImproperRuns(results []*Result, runs map[string]uint32, idempotent bool) []string {
 	var out []string
 	for _, r := range results {
 		for id, outcome := range r.IDs {
--- a/imitator/check.go
+++ b/imitator/check.go
@@ -33,7 +33,7 @@
 	p.checkDuplicates(s)
 	p.checkCapacity(s)
 	p.checkDependencies(s)
-	if !s.step.Lasting && s.workflow.MaxAttempts > 0 && p.failures[run.Task] >= s.workflow.MaxAttempts {
+	if !s.step.LongRunning && s.workflow.MaxAttempts > 0 && p.failures[run.Task] >= s.workflow.MaxAttempts {
 		p.recordViolation(s, "it has failed %d times", p.failures[run.Task])
 	}
 }
@@ -61,7 +61,7 @@
 // checkCapacity checks the worker's capacity and the step's limit per worker.
 func (p *Pool) checkCapacity(s startedRun) {
 	used := s.step.Resources
-	if s.step.Fills {
+	if s.step.BestEffort {
 		used = bestEffortResources(s.step)
 	}
 	colocated := 0
@@ -72,7 +72,7 @@
 		_, step := p.config.Spec(other.Task)
 		switch {
 		case step == nil:
-		case step.Fills:
+		case step.BestEffort:
 			used = used.Add(bestEffortResources(step))
 		default:
 			used = used.Add(step.Resources)
--- a/imitator/gang.go
+++ b/imitator/gang.go
@@ -44,7 +44,7 @@
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			if w.runs[ref] == r && r.awaitsGang {
-				p.endRun(w, ref, briarspring.RunAlone, "")
+				p.endRun(w, ref, briarspring.RunGangTimeout, "")
 			}
 		})
 		return
--- a/imitator/keyed.go
+++ b/imitator/keyed.go
@@ -24,12 +24,12 @@
 // KeyedFaults are the faults that can be injected into a KeyedStore while it
 // runs.
 type KeyedFaults struct {
-	Down       bool          // Calls fail with NotDoneError.
-	Silent     bool          // Calls get no answer.
-	Latency    time.Duration // Of each call.
-	LoseShare  float64       // Share of appends that get no answer.
-	LateShare  float64       // Share of those that are carried out seconds later.
-	CutCallers map[string]bool
+	Down            bool          // Calls fail with NotExecutedError.
+	Silent          bool          // Calls get no answer.
+	Latency         time.Duration // Of each call.
+	LostAnswerShare float64       // Share of appends that get no answer.
+	LateAppendShare float64       // Share of those that are carried out seconds later.
+	CutCallers      map[string]bool
 }
 
 type keyedStream struct {
@@ -49,10 +49,10 @@
 	return &KeyedStore{random: rand.New(rand.NewPCG(seed, seed)), streams: map[string]*keyedStream{}, pageSize: defaultPageSize}
 }
 
-// SetPage sets the maximum number of records in an answer of Newest. Several
-// pages are not a consistent snapshot; small pages expose callers that rely on
-// one.
-func (s *KeyedStore) SetPage(records int) {
+// SetPageSize sets the maximum number of records in an answer of Newest.
+// Several pages are not a consistent snapshot; small pages expose callers that
+// rely on one.
+func (s *KeyedStore) SetPageSize(records int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pageSize = records
@@ -75,9 +75,9 @@
 	s.faults.CutCallers[caller] = cut
 }
 
-// Forget drops the history of all streams and keeps the newest record of each
-// key.
-func (s *KeyedStore) Forget() {
+// TrimHistory drops the history of all streams and keeps the newest record of
+// each key.
+func (s *KeyedStore) TrimHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, st := range s.streams {
@@ -93,8 +93,8 @@
 	s.stream(stream).add(records)
 }
 
-// For returns the named caller's access to the store.
-func (s *KeyedStore) For(caller string) *KeyedClient { return &KeyedClient{store: s, caller: caller} }
+// Client returns the named caller's access to the store.
+func (s *KeyedStore) Client(name string) *KeyedClient { return &KeyedClient{store: s, caller: name} }
 
 // KeyedClient is one caller's access to a KeyedStore.
 type KeyedClient struct {
@@ -136,13 +136,13 @@
 	c.store.mu.Unlock()
 	if cut || f.Silent {
 		<-ctx.Done()
-		return &briarspring.DoubtError{Call: call, Cause: ctx.Err()}
+		return &briarspring.NoAnswerError{Call: call, Cause: ctx.Err()}
 	}
 	if err := sleeper.For(ctx, f.Latency); err != nil {
-		return &briarspring.DoubtError{Call: call, Cause: err}
+		return &briarspring.NoAnswerError{Call: call, Cause: err}
 	}
 	if f.Down {
-		return &briarspring.NotDoneError{Call: call, Reason: "the store is down"}
+		return &briarspring.NotExecutedError{Call: call, Reason: "the store is down"}
 	}
 	return nil
 }
@@ -160,8 +160,8 @@
 	}
 	s := c.store
 	s.mu.Lock()
-	lost := s.random.Float64() < s.faults.LoseShare
-	late := lost && s.random.Float64() < s.faults.LateShare
+	lost := s.random.Float64() < s.faults.LostAnswerShare
+	late := lost && s.random.Float64() < s.faults.LateAppendShare
 	delay := lateAppendAfter + time.Duration(s.random.Int64N(int64(lateAppendSpread)))
 	s.mu.Unlock()
 	if late {
@@ -177,7 +177,7 @@
 	}
 	if lost {
 		<-ctx.Done()
-		return 0, &briarspring.DoubtError{Call: "append", Cause: ctx.Err()}
+		return 0, &briarspring.NoAnswerError{Call: "append", Cause: ctx.Err()}
 	}
 	return next, err
 }
@@ -236,7 +236,7 @@
 		case <-timer.C:
 			return page, nil
 		case <-ctx.Done():
-			return briarspring.KeyedPage{}, &briarspring.DoubtError{Call: "read", Cause: ctx.Err()}
+			return briarspring.KeyedPage{}, &briarspring.NoAnswerError{Call: "read", Cause: ctx.Err()}
 		}
 	}
 }
@@ -255,8 +255,8 @@
 	return page, st.appended, nil
 }
 
-// defaultPageSize is the maximum number of records in an answer of Newest unless
-// SetPage changes it.
+// defaultPageSize is the maximum number of records in an answer of Newest
+// unless SetPageSize changes it.
 const defaultPageSize = 500
 
 // Newest returns the newest records of the keys greater than after, sorted by
--- a/imitator/listing.go
+++ b/imitator/listing.go
@@ -17,40 +17,41 @@
 	entryTTL = 3 * entryInterval
 )
 
-// Listing publishes the entries of a Pool's workers in a KeyedStore.
-type Listing struct {
-	config ListingConfig
+// EntryPublisher publishes the entries of a Pool's workers in a KeyedStore.
+type EntryPublisher struct {
+	config EntryPublisherConfig
 	lastUp map[string]time.Time // When each worker was last up.
 	done   chan struct{}
 }
 
-// ListingConfig holds the settings of a Listing.
-type ListingConfig struct {
+// EntryPublisherConfig holds the settings of an EntryPublisher.
+type EntryPublisherConfig struct {
 	Pool   *Pool
 	Store  *KeyedStore
 	Encode func(briarspring.WorkerEntry) (briarspring.KeyedRecord, error) // Nil means WorkerRecord.
 	Logger hclog.Logger
 }
 
-// NewListing returns a listing that publishes entries while Run runs.
-func NewListing(c ListingConfig) *Listing {
+// NewEntryPublisher returns an EntryPublisher that writes entries while Run
+// runs.
+func NewEntryPublisher(c EntryPublisherConfig) *EntryPublisher {
 	if c.Encode == nil {
 		c.Encode = WorkerRecord
 	}
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
 	}
-	return &Listing{config: c, lastUp: map[string]time.Time{}, done: make(chan struct{})}
+	return &EntryPublisher{config: c, lastUp: map[string]time.Time{}, done: make(chan struct{})}
 }
 
 // Done returns a channel that is closed when Run has ended.
-func (l *Listing) Done() <-chan struct{} { return l.done }
+func (p *EntryPublisher) Done() <-chan struct{} { return p.done }
 
 // Run writes entries until the context ends.
-func (l *Listing) Run(ctx context.Context) {
-	defer close(l.done)
+func (p *EntryPublisher) Run(ctx context.Context) {
+	defer close(p.done)
 	for {
-		l.writeEntries()
+		p.writeEntries()
 		if sleeper.For(ctx, entryInterval) != nil {
 			return
 		}
@@ -59,21 +60,21 @@
 
 // writeEntries writes the entries of all workers that are up and removes those of
 // workers that have been silent for longer than entryTTL.
-func (l *Listing) writeEntries() {
+func (p *EntryPublisher) writeEntries() {
 	now := time.Now()
-	for _, e := range l.config.Pool.Entries() {
-		record, err := l.config.Encode(e)
+	for _, e := range p.config.Pool.Entries() {
+		record, err := p.config.Encode(e)
 		if err != nil {
-			l.config.Logger.Error("worker entry can't be encoded", "worker", e.ID, "error", err)
+			p.config.Logger.Error("worker entry can't be encoded", "worker", e.ID, "error", err)
 			continue
 		}
-		l.lastUp[e.ID] = now
-		l.config.Store.Put(briarspring.WorkersStream, record)
+		p.lastUp[e.ID] = now
+		p.config.Store.Put(briarspring.WorkersStream, record)
 	}
-	for id, at := range l.lastUp {
+	for id, at := range p.lastUp {
 		if now.Sub(at) > entryTTL {
-			delete(l.lastUp, id)
-			l.config.Store.Put(briarspring.WorkersStream, briarspring.KeyedRecord{Key: id})
+			delete(p.lastUp, id)
+			p.config.Store.Put(briarspring.WorkersStream, briarspring.KeyedRecord{Key: id})
 		}
 	}
 }
--- a/imitator/pool.go
+++ b/imitator/pool.go
@@ -17,15 +17,15 @@
 type PoolConfig struct {
 	Seed    uint64
 	Latency time.Duration // Added to each call.
-	// Plan returns how long a run works and how it ends. Long-running tasks get
-	// zero.
-	Plan func(briarspring.RunRef) (work time.Duration, end briarspring.RunEnd)
+	// SimulateRun returns how long a run works and how it ends. Long-running
+	// tasks get zero.
+	SimulateRun func(briarspring.RunRef) (work time.Duration, end briarspring.RunEnd)
 	// Spec returns the workflow and step of a task, to check invariants. The step is
 	// nil for a task that was never submitted.
 	Spec func(briarspring.TaskRef) (*briarspring.Workflow, *briarspring.Step)
-	// Interference returns by how much one core of a best-effort image raises the
-	// tail latency of a serving image, as a fraction of the latter's target. If it
-	// is nil, no usage is reported.
+	// Interference returns by how much one core of a best-effort image raises
+	// the tail latency of a serving image, as a fraction of the latter's
+	// target. If it is nil, no usage is reported.
 	Interference func(serving, bestEffort string) float64
 }
 
@@ -50,7 +50,7 @@
 // PoolCounts are the event counters of a pool's workers.
 type PoolCounts struct {
 	Starts          int // Runs started.
-	Paces           int // Orders that set the speed of a run.
+	PaceChanges     int // Orders that set the speed of a run.
 	TailReports     int // Reports of a long-running task's tail latency.
 	TailsOverTarget int // Reports of a tail latency above its target.
 }
@@ -93,7 +93,7 @@
 	w.up = true
 	w.incarnation++
 	w.startedAt = time.Now()
-	w.entry.Born = w.startedAt.UnixMilli()
+	w.entry.StartedAt = w.startedAt.UnixMilli()
 	w.token, w.leaseEnd, w.lastEndNumber, w.unackedAtExpiry = 0, 0, 0, 0
 	w.runs = map[briarspring.RunRef]*poolRun{}
 	w.highestRun = map[briarspring.TaskRef]uint32{}
@@ -134,9 +134,9 @@
 	p.cut[[2]string{caller, worker}] = cut
 }
 
-// LoseOrders sets the share of orders that get no answer and are carried out
-// seconds later.
-func (p *Pool) LoseOrders(share float64) {
+// SetLateOrderShare sets the share of orders that get no answer and are carried
+// out seconds later.
+func (p *Pool) SetLateOrderShare(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lateShare = share
@@ -156,18 +156,18 @@
 	return list
 }
 
-// Broken returns the violated invariants so far.
-func (p *Pool) Broken() []string {
+// Violations returns the violated invariants so far.
+func (p *Pool) Violations() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.violations)
 }
 
 // Running returns the number of live runs of a task.
-func (p *Pool) Running(t briarspring.TaskRef) int { return len(p.Where(t)) }
+func (p *Pool) Running(t briarspring.TaskRef) int { return len(p.LiveRuns(t)) }
 
-// Where returns the live runs of a task, each as worker and run number.
-func (p *Pool) Where(t briarspring.TaskRef) []string {
+// LiveRuns returns the live runs of a task, each as worker and run number.
+func (p *Pool) LiveRuns(t briarspring.TaskRef) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []string
@@ -216,17 +216,17 @@
 }
 
 // Starts returns the number of runs started so far.
-func (p *Pool) Starts() int { return p.Account().Starts }
+func (p *Pool) Starts() int { return p.Counts().Starts }
 
-// Account returns the event counters so far.
-func (p *Pool) Account() PoolCounts {
+// Counts returns the event counters so far.
+func (p *Pool) Counts() PoolCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// For returns the named caller's access to the workers.
-func (p *Pool) For(caller string) *PoolClient { return &PoolClient{pool: p, caller: caller} }
+// Client returns the named caller's access to the workers.
+func (p *Pool) Client(caller string) *PoolClient { return &PoolClient{pool: p, caller: caller} }
 
 // PoolClient is one caller's access to a Pool.
 type PoolClient struct {
@@ -273,10 +273,10 @@
 }
 
 // connect waits for the latency and returns the worker. When the worker is down
-// or cut off, it waits until ctx ends and returns a *DoubtError.
+// or cut off, it waits until ctx ends and returns a *NoAnswerError.
 func (c *PoolClient) connect(ctx context.Context, id string) (*poolWorker, error) {
 	if err := sleeper.For(ctx, c.pool.config.Latency); err != nil {
-		return nil, &briarspring.DoubtError{Call: "order", Cause: err}
+		return nil, &briarspring.NoAnswerError{Call: "order", Cause: err}
 	}
 	c.pool.mu.Lock()
 	w := c.pool.workers[id]
@@ -284,7 +284,7 @@
 	c.pool.mu.Unlock()
 	if blocked {
 		<-ctx.Done()
-		return nil, &briarspring.DoubtError{Call: "order", Cause: ctx.Err()}
+		return nil, &briarspring.NoAnswerError{Call: "order", Cause: ctx.Err()}
 	}
 	return w, nil
 }
@@ -295,8 +295,8 @@
 	lateOrderSpread = 10 * time.Second
 )
 
-// sendOrder carries out an order: at once, or, for the share set by LoseOrders,
-// seconds later and without an answer.
+// sendOrder carries out an order: at once, or, for the share set by
+// SetLateOrderShare, seconds later and without an answer.
 func (c *PoolClient) sendOrder(ctx context.Context, id string, order func(*poolWorker) error) error {
 	w, err := c.connect(ctx, id)
 	if err != nil {
@@ -322,7 +322,7 @@
 		}
 	}()
 	<-ctx.Done()
-	return &briarspring.DoubtError{Call: "order", Cause: ctx.Err()}
+	return &briarspring.NoAnswerError{Call: "order", Cause: ctx.Err()}
 }
 
 func refused(v briarspring.Verdict) error { return &briarspring.OrderRefusedError{Verdict: v} }
@@ -337,12 +337,12 @@
 	return false
 }
 
-// Hold renews a worker's lease and acknowledges ends. It waits up to h.Wait for a
-// new end and returns what runs and what ended.
-func (c *PoolClient) Hold(ctx context.Context, _, id string, h briarspring.HoldRequest) (briarspring.HoldReply, error) {
+// RenewLease renews a worker's lease and acknowledges ends. It waits up to
+// h.Wait for a new end and returns what runs and what ended.
+func (c *PoolClient) RenewLease(ctx context.Context, _, id string, h briarspring.LeaseRequest) (briarspring.LeaseReply, error) {
 	w, err := c.connect(ctx, id)
 	if err != nil {
-		return briarspring.HoldReply{}, err
+		return briarspring.LeaseReply{}, err
 	}
 	p := c.pool
 	p.mu.Lock()
@@ -350,10 +350,10 @@
 	p.enforceLease(w)
 	if w.rejectsToken(h.Token) {
 		p.mu.Unlock()
-		return briarspring.HoldReply{}, refused(briarspring.VerdictSuperseded)
+		return briarspring.LeaseReply{}, refused(briarspring.VerdictSuperseded)
 	}
 	w.renewLease(h.Until)
-	p.acknowledge(w, h.EndsBefore)
+	p.acknowledge(w, h.LastSeenEnd)
 	noEnds := len(w.ended) == 0
 	changed := w.changed
 	p.mu.Unlock()
@@ -364,16 +364,16 @@
 		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
-			return briarspring.HoldReply{}, &briarspring.DoubtError{Call: "hold", Cause: ctx.Err()}
+			return briarspring.LeaseReply{}, &briarspring.NoAnswerError{Call: "hold", Cause: ctx.Err()}
 		}
 	}
 	if _, err := c.connect(ctx, id); err != nil {
-		return briarspring.HoldReply{}, err
+		return briarspring.LeaseReply{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w.incarnation != incarnation {
-		return briarspring.HoldReply{}, &briarspring.DoubtError{Call: "hold", Cause: &LostAnswerError{Part: id}}
+		return briarspring.LeaseReply{}, &briarspring.NoAnswerError{Call: "hold", Cause: &LostAnswerError{Part: id}}
 	}
 	p.enforceLease(w)
 	return p.leaseReply(w), nil
@@ -391,8 +391,8 @@
 	}
 }
 
-func (p *Pool) leaseReply(w *poolWorker) briarspring.HoldReply {
-	reply := briarspring.HoldReply{Born: w.entry.Born, Clock: w.clock(), Ended: slices.Clone(w.ended)}
+func (p *Pool) leaseReply(w *poolWorker) briarspring.LeaseReply {
+	reply := briarspring.LeaseReply{StartedAt: w.entry.StartedAt, Clock: w.clock(), Ended: slices.Clone(w.ended)}
 	for ref, r := range w.runs {
 		reply.Running = append(reply.Running, briarspring.RunningTask{
 			Run: ref, Checkpoint: r.checkpoint, Percent: r.progressPercent(), Usage: p.reportedUsage(w, r),
@@ -412,17 +412,17 @@
 	case w.rejectsToken(o.Token):
 		return refused(briarspring.VerdictSuperseded)
 	case w.clock() > o.Until:
-		return refused(briarspring.VerdictLate)
+		return refused(briarspring.VerdictExpired)
 	case w.runs[o.Run] != nil:
 		return nil
 	case o.Run.Run <= w.highestRun[o.Run.Task]:
-		return refused(briarspring.VerdictBarred)
+		return refused(briarspring.VerdictStaleRun)
 	}
 	w.renewLease(o.Until)
 	p.checkStart(w, o.Run)
 	p.counts.Starts++
 	p.started[o.Run.Task.Workflow] = true
-	work, outcome := p.config.Plan(o.Run)
+	work, outcome := p.config.SimulateRun(o.Run)
 	_, step := p.config.Spec(o.Run.Task)
 	r := newPoolRun(o.Checkpoint, work, step)
 	w.runs[o.Run] = r
@@ -463,7 +463,7 @@
 		}
 		if r := w.runs[o.Run]; r != nil {
 			r.setPace(o.Percent)
-			c.pool.counts.Paces++
+			c.pool.counts.PaceChanges++
 		}
 		return nil
 	})
--- a/imitator/pool_test.go
+++ b/imitator/pool_test.go
@@ -23,22 +23,22 @@
 		step := briarspring.Step{Tasks: 1, Resources: briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 1, MemoryMiB: 1})}
 		workflow := &briarspring.Workflow{ID: "w", Steps: []briarspring.Step{step}}
 		p := NewPool(PoolConfig{
-			Plan: func(briarspring.RunRef) (time.Duration, briarspring.RunEnd) { return work, briarspring.RunDone },
-			Spec: func(briarspring.TaskRef) (*briarspring.Workflow, *briarspring.Step) { return workflow, &step },
+			SimulateRun: func(briarspring.RunRef) (time.Duration, briarspring.RunEnd) { return work, briarspring.RunDone },
+			Spec:        func(briarspring.TaskRef) (*briarspring.Workflow, *briarspring.Step) { return workflow, &step },
 		})
 		for _, id := range []string{"a", "b"} {
 			p.Add(briarspring.WorkerEntry{ID: id, Capacity: step.Resources})
 		}
 		ctx := context.Background()
-		c := p.For("owner")
+		c := p.Client("owner")
 		run := briarspring.RunRef{Task: briarspring.TaskRef{Workflow: "w"}, Run: 1}
 		require.NoError(t, c.Start(ctx, "", "a", briarspring.StartOrder{Run: run, Until: 3 * time.Second, Token: 1}))
 		time.Sleep(work + pause)
-		_, err := c.Hold(ctx, "", "a", briarspring.HoldRequest{Token: 1, Until: 10 * time.Second, EndsBefore: 1})
+		_, err := c.RenewLease(ctx, "", "a", briarspring.LeaseRequest{Token: 1, Until: 10 * time.Second, LastSeenEnd: 1})
 		require.NoError(t, err)
 		run.Run = 2
 		require.NoError(t, c.Start(ctx, "", "b", briarspring.StartOrder{Run: run, Until: 30 * time.Second, Token: 1}))
-		violations = p.Broken()
+		violations = p.Violations()
 	})
 	return violations
 }
--- a/imitator/poolrun.go
+++ b/imitator/poolrun.go
@@ -88,12 +88,12 @@
 	if p.config.Interference == nil || r.step == nil {
 		return 0
 	}
-	if !r.step.Lasting {
+	if !r.step.LongRunning {
 		return float64(r.step.Resources.MilliCPU()) * float64(r.pace) / fullPace
 	}
 	tail := baseTail
 	for _, o := range w.runs {
-		if o.step != nil && o.step.Fills {
+		if o.step != nil && o.step.BestEffort {
 			cores := float64(o.step.Resources.MilliCPU()) / briarspring.MilliCPUPerCore
 			tail += p.config.Interference(r.step.Image, o.step.Image) * cores * float64(o.pace) / fullPace
 		}
--- a/imitator/record.go
+++ b/imitator/record.go
@@ -58,9 +58,9 @@
 	return briarspring.KeyedRecord{Key: keyDirectory, Value: value}, err
 }
 
-// OutRecord returns the record that takes a data centre out of service or, if out
-// is false, returns it to service.
-func OutRecord(dataCentre string, out bool) briarspring.KeyedRecord {
+// OutOfServiceRecord returns the record that takes a data centre out of service
+// or, if out is false, returns it to service.
+func OutOfServiceRecord(dataCentre string, out bool) briarspring.KeyedRecord {
 	r := briarspring.KeyedRecord{Key: prefixOut + dataCentre}
 	if out {
 		r.Value = []byte("{}")
@@ -73,7 +73,7 @@
 	value, err := json.Marshal(workerRecord{
 		Service: e.Service, Address: e.Address, DataCentre: e.DataCentre, Rack: e.Rack, Labels: e.Labels,
 		MilliCPU: e.Capacity.MilliCPU(), MemoryMiB: e.Capacity.MemoryMiB(), Accelerators: e.Capacity.Accelerators(),
-		Draining: e.Draining, Born: e.Born,
+		Draining: e.Draining, Born: e.StartedAt,
 	})
 	return briarspring.KeyedRecord{Key: e.ID, Value: value}, err
 }
@@ -81,8 +81,9 @@
 // Decoder decodes the records of the stand-ins.
 type Decoder struct{}
 
-// Directory decodes a directory of queues. It returns false for other records.
-func (Decoder) Directory(r briarspring.KeyedRecord) (briarspring.Directory, bool, error) {
+// DecodeDirectory decodes a directory of queues. It returns false for other
+// records.
+func (Decoder) DecodeDirectory(r briarspring.KeyedRecord) (briarspring.Directory, bool, error) {
 	if r.Key != keyDirectory || len(r.Value) == 0 {
 		return briarspring.Directory{}, false, nil
 	}
@@ -100,12 +101,12 @@
 	return d, true, nil
 }
 
-// OutOfService returns the data centre whose state a record with this key holds.
-// It returns false for other keys.
-func (Decoder) OutOfService(key string) (string, bool) { return strings.CutPrefix(key, prefixOut) }
+// DecodeOutKey returns the data centre whose state a record with this key
+// holds. It returns false for other keys.
+func (Decoder) DecodeOutKey(key string) (string, bool) { return strings.CutPrefix(key, prefixOut) }
 
-// Worker decodes a worker's entry.
-func (Decoder) Worker(r briarspring.KeyedRecord) (briarspring.WorkerEntry, error) {
+// DecodeWorker decodes a worker's entry.
+func (Decoder) DecodeWorker(r briarspring.KeyedRecord) (briarspring.WorkerEntry, error) {
 	var m workerRecord
 	if err := json.Unmarshal(r.Value, &m); err != nil {
 		return briarspring.WorkerEntry{}, err
@@ -115,6 +116,6 @@
 		Capacity: briarspring.NewResources(briarspring.ResourcesConfig{
 			MilliCPU: m.MilliCPU, MemoryMiB: m.MemoryMiB, Accelerators: m.Accelerators,
 		}),
-		Draining: m.Draining, Born: m.Born,
+		Draining: m.Draining, StartedAt: m.Born,
 	}, nil
 }
--- a/launcher/launcher.go
+++ b/launcher/launcher.go
@@ -26,8 +26,8 @@
 	Stop(giveUp <-chan struct{})
 }
 
-// GiveUpContext returns a context that ends when giveUp is closed.
-func GiveUpContext(giveUp <-chan struct{}) (context.Context, context.CancelFunc) {
+// ContextUntil returns a context that ends when giveUp is closed.
+func ContextUntil(giveUp <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		select {
--- a/launcher/launcher_test.go
+++ b/launcher/launcher_test.go
@@ -71,9 +71,9 @@
 	assert.ErrorAs(t, err, &missing)
 }
 
-func TestGiveUpContext(t *testing.T) {
+func TestContextUntil(t *testing.T) {
 	giveUp := make(chan struct{})
-	ctx, cancel := launcher.GiveUpContext(giveUp)
+	ctx, cancel := launcher.ContextUntil(giveUp)
 	defer cancel()
 	require.NoError(t, ctx.Err())
 	close(giveUp)
--- a/learner/learner.go
+++ b/learner/learner.go
@@ -48,26 +48,26 @@
 	return &Learner{config: c, services: map[string]*service{}}
 }
 
-// Beside is the number of tasks of a class that ran on an executor's worker when
-// a measurement was taken. A throttled task counts as a fraction.
-type Beside struct {
+// Colocated is the number of tasks of a class that ran on an executor's worker
+// when a measurement was taken. A throttled task counts as a fraction.
+type Colocated struct {
 	Class string
 	Tasks float64
 }
 
 // Observe updates the estimates with a measurement of an executor's tail latency
 // and the batch tasks on its worker at that time, which must be sorted by class.
-func (l *Learner) Observe(name string, p99 time.Duration, beside []Beside) {
+func (l *Learner) Observe(name string, p99 time.Duration, colocated []Colocated) {
 	s := l.services[name]
 	if s == nil {
 		s = &service{baseline: p99.Seconds(), slopes: map[string]*slope{}}
 		l.services[name] = s
 	}
-	if len(beside) == 0 {
+	if len(colocated) == 0 {
 		s.observeAlone(p99.Seconds(), l.config)
 		return
 	}
-	s.observeBeside(p99.Seconds(), beside, l.config)
+	s.observeColocated(p99.Seconds(), colocated, l.config)
 }
 
 // observeAlone updates the baseline from a measurement without batch tasks.
@@ -77,9 +77,9 @@
 	s.baseline += rate * (p99 - s.baseline)
 }
 
-// observeBeside corrects the slopes of the classes on the executor's worker, in
-// proportion to their tasks (normalized least mean squares).
-func (s *service) observeBeside(p99 float64, beside []Beside, c Config) {
+// observeColocated corrects the slopes of the classes on the executor's worker,
+// in proportion to their tasks (normalized least mean squares).
+func (s *service) observeColocated(p99 float64, colocated []Colocated, c Config) {
 	if p99 < s.baseline {
 		s.baseline += c.BaselineRate * (p99 - s.baseline)
 	} else if s.baselineCount == 0 {
@@ -89,7 +89,7 @@
 		return
 	}
 	predicted, norm := 0.0, 0.0
-	for _, b := range beside {
+	for _, b := range colocated {
 		predicted += s.slope(b.Class).value * b.Tasks
 		norm += b.Tasks * b.Tasks
 	}
@@ -97,7 +97,7 @@
 		return
 	}
 	residual := max(p99/s.baseline-1, 0) - predicted
-	for _, b := range beside {
+	for _, b := range colocated {
 		k := s.slope(b.Class)
 		k.value = max(0, k.value+c.LearningRate*residual*b.Tasks/norm)
 		k.weight++
--- a/learner/learner_test.go
+++ b/learner/learner_test.go
@@ -9,8 +9,8 @@
 	"briarspring/learner"
 )
 
-func beside(class string, n float64) []learner.Beside {
-	return []learner.Beside{{Class: class, Tasks: n}}
+func colocated(class string, n float64) []learner.Colocated {
+	return []learner.Colocated{{Class: class, Tasks: n}}
 }
 
 // observe feeds measurements of a service with a tail of 20 ms, which each noisy
@@ -18,9 +18,9 @@
 func observe(l *learner.Learner, rounds int) {
 	for range rounds {
 		l.Observe("ledger", 20*time.Millisecond, nil)
-		l.Observe("ledger", 30*time.Millisecond, beside("noisy", 1))
-		l.Observe("ledger", 40*time.Millisecond, beside("noisy", 2))
-		l.Observe("ledger", 20*time.Millisecond, beside("quiet", 3))
+		l.Observe("ledger", 30*time.Millisecond, colocated("noisy", 1))
+		l.Observe("ledger", 40*time.Millisecond, colocated("noisy", 2))
+		l.Observe("ledger", 20*time.Millisecond, colocated("quiet", 3))
 	}
 }
 
@@ -36,8 +36,8 @@
 func TestLearnsWithoutQuietTimes(t *testing.T) {
 	l := learner.New(learner.Config{})
 	for range 30 {
-		l.Observe("ledger", 20*time.Millisecond, beside("quiet", 1))
-		l.Observe("ledger", 30*time.Millisecond, beside("noisy", 1))
+		l.Observe("ledger", 20*time.Millisecond, colocated("quiet", 1))
+		l.Observe("ledger", 30*time.Millisecond, colocated("noisy", 1))
 	}
 	assert.Greater(t, l.Slowdown("ledger", "noisy"), 0.3)
 	assert.Less(t, l.Slowdown("ledger", "quiet"), 0.1)
--- a/lister/lister.go
+++ b/lister/lister.go
@@ -13,7 +13,7 @@
 
 // Decoder decodes records of the workers' stream.
 type Decoder interface {
-	Worker(r briarspring.KeyedRecord) (briarspring.WorkerEntry, error)
+	DecodeWorker(r briarspring.KeyedRecord) (briarspring.WorkerEntry, error)
 }
 
 // Config holds the settings of a List.
@@ -66,7 +66,7 @@
 		delete(l.entries, r.Key)
 		return
 	}
-	e, err := l.config.Decoder.Worker(r)
+	e, err := l.config.Decoder.DecodeWorker(r)
 	if err != nil {
 		delete(l.entries, r.Key)
 		if !l.malformed[r.Key] {
--- a/lister/lister_test.go
+++ b/lister/lister_test.go
@@ -13,7 +13,7 @@
 // decoder uses the value as the data centre, and fails for "malformed".
 type decoder struct{}
 
-func (decoder) Worker(r briarspring.KeyedRecord) (briarspring.WorkerEntry, error) {
+func (decoder) DecodeWorker(r briarspring.KeyedRecord) (briarspring.WorkerEntry, error) {
 	if string(r.Value) == "malformed" {
 		return briarspring.WorkerEntry{}, errors.New("malformed")
 	}
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	for _, w := range m.Workers {
-		if w.State == workerLive && s.scheduler.Leaving(w.Name) {
+		if w.State == workerLive && s.scheduler.HostLeaving(w.Name) {
 			w.State = workerLeaving
 		}
 	}
--- a/operator/job.go
+++ b/operator/job.go
@@ -95,7 +95,7 @@
 	}
 	m.State = jobState(w)
 	if m.State == stateWaiting {
-		if m.Problem = conf.Impossible(w.Resources()); m.Problem != "" {
+		if m.Problem = conf.InfeasibleReason(w.Resources()); m.Problem != "" {
 			m.State = stateImpossible
 		}
 	}
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -18,10 +18,10 @@
 // Scheduler is the scheduler that the RPCs read and change.
 type Scheduler interface {
 	Submit(ctx context.Context, cmd briarspring.Command) (applier.Answer, error)
-	View(f func(conf *applier.Config, place *applier.Placement))
+	ReadStates(f func(conf *applier.Config, place *applier.Placement))
 	Explain(id briarspring.TaskID) scheduler.Explanation
-	Watch(ctx context.Context) <-chan scheduler.Decision
-	Leaving(worker string) bool
+	WatchDecisions(ctx context.Context) <-chan scheduler.Decision
+	HostLeaving(worker string) bool
 	Ready() bool
 	Name() string
 }
@@ -41,7 +41,7 @@
 	if !s.scheduler.Ready() {
 		return rpcError(&scheduler.NotReadyError{Name: s.scheduler.Name()})
 	}
-	s.scheduler.View(f)
+	s.scheduler.ReadStates(f)
 	return nil
 }
 
--- a/operator/service.go
+++ b/operator/service.go
@@ -74,7 +74,7 @@
 func describeService(conf *applier.Config, w *applier.Workload) *pb.ServiceDescription {
 	return &pb.ServiceDescription{
 		Service: encoder.EncodeService(*w.Service()), Version: w.Version(),
-		Progress: progress(w), Problem: conf.Impossible(w.Resources()),
+		Progress: progress(w), Problem: conf.InfeasibleReason(w.Resources()),
 	}
 }
 
--- a/operator/task.go
+++ b/operator/task.go
@@ -21,12 +21,12 @@
 	}
 	m := &pb.ListTasksResponse{}
 	err := s.view(func(conf *applier.Config, place *applier.Placement) {
-		for _, id := range place.Loads() {
+		for _, id := range place.Workloads() {
 			w := conf.Workload(id)
 			if w == nil || r.Msg.GetWorkload() != "" && r.Msg.GetWorkload() != w.Name() {
 				continue
 			}
-			m.Tasks = append(m.Tasks, describeTasks(w, place, place.Load(id), limit-len(m.Tasks))...)
+			m.Tasks = append(m.Tasks, describeTasks(w, place, place.Workload(id), limit-len(m.Tasks))...)
 		}
 	})
 	if err != nil {
@@ -35,7 +35,7 @@
 	return connect.NewResponse(m), nil
 }
 
-func describeTasks(w *applier.Workload, place *applier.Placement, l *applier.Load, limit int) []*pb.TaskDescription {
+func describeTasks(w *applier.Workload, place *applier.Placement, l *applier.AdoptedWorkload, limit int) []*pb.TaskDescription {
 	var out []*pb.TaskDescription
 	for _, t := range l.Tasks() {
 		if len(out) >= limit {
@@ -43,7 +43,7 @@
 		}
 		out = append(out, describeTask(w, place, t))
 	}
-	for _, span := range l.Fresh() {
+	for _, span := range l.UnstartedSpans() {
 		for i := span.First; i < span.End && len(out) < limit; i++ {
 			out = append(out, &pb.TaskDescription{Workload: w.Name(), Index: i, State: applier.PhaseWaiting.String()})
 		}
@@ -88,7 +88,7 @@
 	}
 	x := s.scheduler.Explain(id)
 	if m.Waiting == "" && m.Task.GetState() == applier.PhaseWaiting.String() {
-		m.Waiting = x.Waiting
+		m.Waiting = x.WaitReason
 	}
 	for _, d := range x.Decisions {
 		m.Decisions = append(m.Decisions, encodeDecision(d))
@@ -106,7 +106,7 @@
 // locateTask returns a task's state and location. If the task is assigned to
 // another data centre or to none, it also returns that as the reason to wait.
 func locateTask(conf *applier.Config, place *applier.Placement, w *applier.Workload, id briarspring.TaskID) (*pb.TaskDescription, string) {
-	l := place.Load(id.Workload)
+	l := place.Workload(id.Workload)
 	if l != nil && l.Task(id.Index) != nil {
 		return describeTask(w, place, l.Task(id.Index)), ""
 	}
@@ -116,10 +116,10 @@
 		return m, ""
 	}
 	for _, share := range w.Shares() {
-		if _, assigned := w.Holds(share.DataCentre).Has(id.Index); assigned {
+		if _, assigned := w.AssignedTo(share.DataCentre).Has(id.Index); assigned {
 			m.State = "elsewhere"
 			if share.DataCentre == "" {
-				return m, "no data centre can take it: " + conf.Impossible(w.Resources())
+				return m, "no data centre can take it: " + conf.InfeasibleReason(w.Resources())
 			}
 			return m, "is assigned to data centre " + share.DataCentre
 		}
@@ -131,13 +131,13 @@
 func encodeDecision(d scheduler.Decision) *pb.Decision {
 	return &pb.Decision{
 		TimeMs: d.Time.UnixMilli(), Kind: d.Kind, Workload: d.Name, Index: d.Attempt.Task.Index,
-		Attempt: d.Attempt.Attempt, Worker: d.Worker, Reason: d.Reason, Rejected: d.Rejected,
+		Attempt: d.Attempt.Attempt, Worker: d.Worker, Reason: d.Reason, Rejected: d.RejectedWorkers,
 	}
 }
 
 // WatchDecisions streams decisions until the client disconnects.
 func (s *Server) WatchDecisions(ctx context.Context, r *connect.Request[pb.WatchDecisionsRequest], stream *connect.ServerStream[pb.Decision]) error {
-	decisions := s.scheduler.Watch(ctx)
+	decisions := s.scheduler.WatchDecisions(ctx)
 	for {
 		select {
 		case <-ctx.Done():
--- a/operator/workflow.go
+++ b/operator/workflow.go
@@ -21,26 +21,27 @@
 type Admitter interface {
 	Queue(name string) (briarspring.Queue, error)
 	Directory() (briarspring.Directory, bool)
-	DataCentres() []balancer.Option
+	DataCentreOptions() []balancer.Option
 	Submit(ctx context.Context, q briarspring.Queue, w *briarspring.Workflow) error
 	Cancel(ctx context.Context, id briarspring.WorkflowID) (known bool, err error)
-	Waiting(q briarspring.Queue) int
-	View(f func(*registrar.Registry))
+	UnstartedWorkflows(q briarspring.Queue) int
+	ReadRegistry(f func(*registrar.Registry))
 }
 
-// Owner lists the runs in a data centre; ok is false unless this process owns it.
-type Owner interface {
+// RunLister lists the runs in a data centre; ok is false unless this process
+// owns it.
+type RunLister interface {
 	Runs(id briarspring.WorkflowID) (list []dispatcher.RunInfo, ok bool)
 }
 
 // WorkflowServer implements the RPCs on workflows.
 type WorkflowServer struct {
 	admitter Admitter
-	owners   map[string]Owner
+	owners   map[string]RunLister
 }
 
 // NewWorkflowServer returns a server. The owners are keyed by data centre.
-func NewWorkflowServer(a Admitter, owners map[string]Owner) *WorkflowServer {
+func NewWorkflowServer(a Admitter, owners map[string]RunLister) *WorkflowServer {
 	return &WorkflowServer{admitter: a, owners: owners}
 }
 
@@ -80,7 +81,7 @@
 		return nil, workflowError(err)
 	}
 	m := &pb.SubmitWorkflowResponse{DataCentre: w.DataCentre}
-	s.admitter.View(func(r *registrar.Registry) {
+	s.admitter.ReadRegistry(func(r *registrar.Registry) {
 		// A repeated submission keeps the data centre of the first one.
 		if e := r.Workflow(id); e != nil {
 			m.DataCentre = e.Workflow().DataCentre
@@ -92,7 +93,7 @@
 // DescribeWorkflow returns a workflow's phase, task counts and steps.
 func (s *WorkflowServer) DescribeWorkflow(_ context.Context, r *connect.Request[pb.DescribeWorkflowRequest]) (*connect.Response[pb.WorkflowDescription], error) {
 	var m *pb.WorkflowDescription
-	s.admitter.View(func(reg *registrar.Registry) {
+	s.admitter.ReadRegistry(func(reg *registrar.Registry) {
 		if e := reg.Workflow(briarspring.WorkflowID(r.Msg.GetId())); e != nil {
 			m = describeWorkflow(e)
 			m.Steps = encoder.EncodeSteps(e.Workflow().Steps)
@@ -120,7 +121,7 @@
 // ListWorkflows lists workflows, sorted by ID.
 func (s *WorkflowServer) ListWorkflows(_ context.Context, r *connect.Request[pb.ListWorkflowsRequest]) (*connect.Response[pb.ListWorkflowsResponse], error) {
 	m := &pb.ListWorkflowsResponse{}
-	s.admitter.View(func(reg *registrar.Registry) {
+	s.admitter.ReadRegistry(func(reg *registrar.Registry) {
 		reg.Workflows(func(e *registrar.Entry) {
 			if r.Msg.GetQueue() != "" && e.Workflow().Queue != r.Msg.GetQueue() {
 				return
@@ -166,7 +167,7 @@
 		m.Queues = append(m.Queues, &pb.QueueDescription{
 			Name: q.Name, Host: q.Host, Prefix: q.Prefix, Service: q.Service, Priority: int32(q.Priority),
 			MaxAttempts: int32(q.MaxAttempts), Stretch: q.Stretch, AllowanceMs: q.Allowance.Milliseconds(),
-			Waiting: int32(s.admitter.Waiting(q)),
+			Waiting: int32(s.admitter.UnstartedWorkflows(q)),
 		})
 	}
 	return connect.NewResponse(m), nil
@@ -175,13 +176,13 @@
 // ListOwners lists the data centres with their owners and load.
 func (s *WorkflowServer) ListOwners(context.Context, *connect.Request[pb.ListOwnersRequest]) (*connect.Response[pb.ListOwnersResponse], error) {
 	m := &pb.ListOwnersResponse{}
-	for _, o := range s.admitter.DataCentres() {
+	for _, o := range s.admitter.DataCentreOptions() {
 		m.Owners = append(m.Owners, &pb.OwnerDescription{
-			DataCentre: o.DataCentre, Out: o.Out, BeatAgeMs: o.BeatAge.Milliseconds(),
+			DataCentre: o.DataCentre, Out: o.OutOfService, BeatAgeMs: o.HeartbeatAge.Milliseconds(),
 			TotalMilliCpu: o.Total, FreeMilliCpu: o.Free, BacklogSeconds: o.Backlog,
 		})
 	}
-	s.admitter.View(func(r *registrar.Registry) {
+	s.admitter.ReadRegistry(func(r *registrar.Registry) {
 		for _, o := range m.Owners {
 			claim := r.Claim(o.DataCentre)
 			o.Owner, o.Token = claim.Owner, claim.Token
@@ -193,7 +194,7 @@
 // ListRuns lists the runs in the data centres that this process owns.
 func (s *WorkflowServer) ListRuns(_ context.Context, r *connect.Request[pb.ListRunsRequest]) (*connect.Response[pb.ListRunsResponse], error) {
 	m := &pb.ListRunsResponse{}
-	for _, o := range s.admitter.DataCentres() {
+	for _, o := range s.admitter.DataCentreOptions() {
 		owner := s.owners[o.DataCentre]
 		if owner == nil {
 			continue
@@ -219,7 +220,7 @@
 // refused call has no effect; a call without an answer may have taken effect.
 func workflowError(err error) error {
 	var refused *admitter.RefusedError
-	var unknown *briarspring.DoubtError
+	var unknown *briarspring.NoAnswerError
 	var malformed *encoder.MalformedError
 	switch {
 	case errors.As(err, &refused):
--- a/operator/workflow_test.go
+++ b/operator/workflow_test.go
@@ -45,8 +45,8 @@
 	return briarspring.Directory{Version: 7, Queues: []briarspring.Queue{urgent}}, a.err == nil
 }
 
-func (a *fakeAdmitter) DataCentres() []balancer.Option {
-	return []balancer.Option{{DataCentre: "tartu", Out: true, BeatAge: 100 * time.Millisecond, Total: 16000, Free: 4000}}
+func (a *fakeAdmitter) DataCentreOptions() []balancer.Option {
+	return []balancer.Option{{DataCentre: "tartu", OutOfService: true, HeartbeatAge: 100 * time.Millisecond, Total: 16000, Free: 4000}}
 }
 
 func (a *fakeAdmitter) apply(key string, value []byte) {
@@ -62,7 +62,7 @@
 		return a.err
 	}
 	w.Queue, w.Stretch, w.Allowance, w.DataCentre, w.Submitted = q.Name, q.Stretch, q.Allowance, "tartu", time.UnixMilli(5000)
-	value, err := encoder.Submission(w)
+	value, err := encoder.EncodeSubmission(w)
 	if err != nil {
 		return err
 	}
@@ -81,9 +81,9 @@
 	return true, nil
 }
 
-func (a *fakeAdmitter) Waiting(q briarspring.Queue) int { return a.registry.Waiting(q.Name) }
+func (a *fakeAdmitter) UnstartedWorkflows(q briarspring.Queue) int { return a.registry.Waiting(q.Name) }
 
-func (a *fakeAdmitter) View(f func(*registrar.Registry)) { f(a.registry) }
+func (a *fakeAdmitter) ReadRegistry(f func(*registrar.Registry)) { f(a.registry) }
 
 // fakeOwner reports one run of any requested workflow.
 type fakeOwner struct{}
@@ -98,7 +98,7 @@
 func startServer(t *testing.T) (*fakeAdmitter, briarspringv1connect.WorkflowsClient) {
 	a := &fakeAdmitter{registry: registrar.New()}
 	mux := http.NewServeMux()
-	mux.Handle(briarspringv1connect.NewWorkflowsHandler(operator.NewWorkflowServer(a, map[string]operator.Owner{"tartu": fakeOwner{}})))
+	mux.Handle(briarspringv1connect.NewWorkflowsHandler(operator.NewWorkflowServer(a, map[string]operator.RunLister{"tartu": fakeOwner{}})))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	return a, briarspringv1connect.NewWorkflowsClient(http.DefaultClient, server.URL)
@@ -157,7 +157,7 @@
 		a.err = &admitter.RefusedError{Reason: "not supported"}
 		_, err = client.SubmitWorkflow(t.Context(), submitRequest("a"))
 		assertCode(t, connect.CodeFailedPrecondition, err)
-		a.err = &briarspring.DoubtError{Call: "store", Cause: context.DeadlineExceeded}
+		a.err = &briarspring.NoAnswerError{Call: "store", Cause: context.DeadlineExceeded}
 		_, err = client.SubmitWorkflow(t.Context(), submitRequest("a"))
 		assertCode(t, connect.CodeDeadlineExceeded, err)
 	})
