--- a/pacer/estimate.go
+++ b/pacer/estimate.go
@@ -147,12 +147,12 @@
 )
 
 // export returns the coefficients whose standard error is below maxSharedStdErr.
-func (t *tailModel) export(serving string) briarspring.PressModel {
-	m := briarspring.PressModel{Serving: serving, Constant: t.value[0]}
+func (t *tailModel) export(serving string) briarspring.InterferenceModel {
+	m := briarspring.InterferenceModel{Serving: serving, Constant: t.value[0]}
 	for _, image := range slices.Sorted(maps.Keys(t.index)) {
 		i := t.index[image]
 		if t.cov[i][i] > 0 && t.cov[i][i] < maxSharedStdErr*maxSharedStdErr {
-			m.Pairs = append(m.Pairs, briarspring.PressPair{Image: image, Rise: t.value[i], Variance: t.cov[i][i]})
+			m.Pairs = append(m.Pairs, briarspring.InterferencePair{Image: image, Rise: t.value[i], Variance: t.cov[i][i]})
 		}
 	}
 	return m
@@ -160,7 +160,7 @@
 
 // adopt replaces coefficients that another owner has estimated much more
 // precisely.
-func (t *tailModel) adopt(m briarspring.PressModel) {
+func (t *tailModel) adopt(m briarspring.InterferenceModel) {
 	for _, p := range m.Pairs {
 		variance := max(minAdoptedVariance, p.Variance)
 		if i, ok := t.position(p.Image); ok && t.cov[i][i] > adoptFactor*variance {
--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -85,32 +85,32 @@
 	return max(0, rise-stdErr/4)
 }
 
-// Burden returns the fraction of the known images that interfere with any of the
-// serving tasks.
-func (p *Pacer) Burden(serving []dispatcher.Serving) float64 {
+// InterferingFraction returns the fraction of the known images that interfere
+// with any of the serving tasks.
+func (p *Pacer) InterferingFraction(serving []dispatcher.ServingTask) float64 {
 	if len(p.images) == 0 {
 		return 0
 	}
 	n := 0
 	for image := range p.images {
-		if p.Presses(image, serving) {
+		if p.Interferes(image, serving) {
 			n++
 		}
 	}
 	return float64(n) / float64(len(p.images))
 }
 
-// Presses reports whether an image interferes with any of the serving tasks.
-func (p *Pacer) Presses(image string, serving []dispatcher.Serving) bool {
-	return slices.ContainsFunc(serving, func(s dispatcher.Serving) bool { return p.RisePerCore(s.Image, image) >= interferingRise })
+// Interferes reports whether an image interferes with any of the serving tasks.
+func (p *Pacer) Interferes(image string, serving []dispatcher.ServingTask) bool {
+	return slices.ContainsFunc(serving, func(s dispatcher.ServingTask) bool { return p.RisePerCore(s.Image, image) >= interferingRise })
 }
 
-// Share returns the fraction of full speed at which one more task of an image
-// could run on a worker.
-func (p *Pacer) Share(worker, image string, cores float64, serving []dispatcher.Serving, bestEffort []dispatcher.Filling) float64 {
+// SpeedFraction returns the fraction of full speed at which one more task of an
+// image could run on a worker.
+func (p *Pacer) SpeedFraction(worker, image string, cores float64, serving []dispatcher.ServingTask, bestEffort []dispatcher.BestEffortTask) float64 {
 	share := 1.0
 	for _, s := range serving {
-		if s.Tail >= stopTail {
+		if s.TailRatio >= stopTail {
 			// The cause of the high tail isn't certain, so no task is added.
 			return 0
 		}
@@ -128,13 +128,13 @@
 }
 
 // headroom returns how much interfering tasks may raise a tail on average.
-func (p *Pacer) headroom(worker string, s dispatcher.Serving) float64 {
-	if s.Tail >= stopTail {
+func (p *Pacer) headroom(worker string, s dispatcher.ServingTask) float64 {
+	if s.TailRatio >= stopTail {
 		return 0
 	}
-	base := s.Tail
+	base := s.TailRatio
 	if model := p.models[s.Image]; model != nil {
-		base = min(base, max(model.value[0], s.Tail-p.explainedRise(worker, s)))
+		base = min(base, max(model.value[0], s.TailRatio-p.explainedRise(worker, s)))
 	}
 	gain := 1.0
 	if w := p.workers[worker]; w != nil {
@@ -144,7 +144,7 @@
 }
 
 // explainedRise returns the part of a tail that the cores in use explain.
-func (p *Pacer) explainedRise(worker string, s dispatcher.Serving) float64 {
+func (p *Pacer) explainedRise(worker string, s dispatcher.ServingTask) float64 {
 	w := p.workers[worker]
 	if w == nil {
 		return 0
@@ -158,7 +158,7 @@
 
 // fullSpeedRise returns the average rise that a task causes at full speed, or zero
 // if it doesn't interfere.
-func (p *Pacer) fullSpeedRise(f dispatcher.Filling, s dispatcher.Serving) float64 {
+func (p *Pacer) fullSpeedRise(f dispatcher.BestEffortTask, s dispatcher.ServingTask) float64 {
 	if rise := p.RisePerCore(s.Image, f.Image); rise >= interferingRise {
 		return rise * f.Cores
 	}
@@ -170,7 +170,7 @@
 
 // Decide updates the models with a worker's measurements and returns the changes
 // of pace.
-func (p *Pacer) Decide(now time.Duration, worker string, serving []dispatcher.Serving, bestEffort []dispatcher.Filling) []dispatcher.Pace {
+func (p *Pacer) Decide(now time.Duration, worker string, serving []dispatcher.ServingTask, bestEffort []dispatcher.BestEffortTask) []dispatcher.Pace {
 	w := p.workers[worker]
 	if w == nil {
 		w = &workerState{usage: map[string]float64{}, gain: 1}
@@ -179,8 +179,8 @@
 	w.updateUsage(bestEffort)
 	worst := 0.0
 	for _, s := range serving {
-		if s.Marked {
-			worst = max(worst, s.Tail)
+		if s.Measured {
+			worst = max(worst, s.TailRatio)
 			p.learn(s, w.usage)
 		}
 	}
@@ -208,20 +208,20 @@
 
 // assignPaces divides the headroom among the interfering tasks, those with most
 // progress first, and lets the others run at full speed.
-func (p *Pacer) assignPaces(worker string, serving []dispatcher.Serving, bestEffort []dispatcher.Filling) []dispatcher.Pace {
+func (p *Pacer) assignPaces(worker string, serving []dispatcher.ServingTask, bestEffort []dispatcher.BestEffortTask) []dispatcher.Pace {
 	headrooms := make([]float64, len(serving))
 	for i, s := range serving {
 		headrooms[i] = p.headroom(worker, s)
 	}
 	order := slices.Clone(bestEffort)
-	slices.SortStableFunc(order, func(a, b dispatcher.Filling) int { return cmp.Compare(b.Progress, a.Progress) })
+	slices.SortStableFunc(order, func(a, b dispatcher.BestEffortTask) int { return cmp.Compare(b.Progress, a.Progress) })
 	var paces []dispatcher.Pace
 	for _, f := range order {
 		share := 1.0
 		for i, s := range serving {
 			if rise := p.fullSpeedRise(f, s); rise > 0 {
 				share = min(share, headrooms[i]/rise)
-			} else if s.Tail >= stopTail && !p.harmless(s.Image, f.Image) {
+			} else if s.TailRatio >= stopTail && !p.harmless(s.Image, f.Image) {
 				share = min(share, suspectPaceFactor*float64(f.Percent)/fullSpeed)
 			}
 		}
@@ -236,7 +236,7 @@
 }
 
 // learn updates the model of a serving image with a measured tail.
-func (p *Pacer) learn(s dispatcher.Serving, usage map[string]float64) {
+func (p *Pacer) learn(s dispatcher.ServingTask, usage map[string]float64) {
 	model := p.models[s.Image]
 	if model == nil {
 		model = newTailModel()
@@ -245,11 +245,11 @@
 	for image := range usage {
 		p.images[image] = true
 	}
-	model.observe(s.Tail, usage)
+	model.observe(s.TailRatio, usage)
 }
 
 // updateUsage updates the moving average of the cores in use by image.
-func (w *workerState) updateUsage(bestEffort []dispatcher.Filling) {
+func (w *workerState) updateUsage(bestEffort []dispatcher.BestEffortTask) {
 	used := map[string]float64{}
 	for _, f := range bestEffort {
 		used[f.Image] += f.Used
@@ -278,7 +278,7 @@
 }
 
 // limitPace returns the paces that limit every faster task to a percentage.
-func limitPace(bestEffort []dispatcher.Filling, percent int) []dispatcher.Pace {
+func limitPace(bestEffort []dispatcher.BestEffortTask, percent int) []dispatcher.Pace {
 	var paces []dispatcher.Pace
 	for _, f := range bestEffort {
 		if f.Percent > percent {
@@ -288,9 +288,9 @@
 	return paces
 }
 
-// Model returns the well-known coefficients, to share them with other owners.
-func (p *Pacer) Model() []briarspring.PressModel {
-	var models []briarspring.PressModel
+// Models returns the well-known coefficients, to share them with other owners.
+func (p *Pacer) Models() []briarspring.InterferenceModel {
+	var models []briarspring.InterferenceModel
 	for _, serving := range slices.Sorted(maps.Keys(p.models)) {
 		if m := p.models[serving].export(serving); len(m.Pairs) > 0 {
 			models = append(models, m)
@@ -299,10 +299,10 @@
 	return models
 }
 
-// Adopt replaces coefficients that other owners have estimated much more
-// precisely. Without them a new owner would have to let every pair interfere once
-// to learn its effect.
-func (p *Pacer) Adopt(models []briarspring.PressModel) {
+// AdoptModels replaces coefficients that other owners have estimated much more
+// precisely. Without them a new owner would have to let every pair interfere
+// once to learn its effect.
+func (p *Pacer) AdoptModels(models []briarspring.InterferenceModel) {
 	for _, m := range models {
 		model := p.models[m.Serving]
 		if model == nil {
--- a/pacer/pacer_test.go
+++ b/pacer/pacer_test.go
@@ -26,13 +26,13 @@
 	return &simulation{p: pacer.New(), random: rand.New(rand.NewPCG(1, 2)), interfering: map[string]float64{}}
 }
 
-func bestEffort(number int, image string, percent int) dispatcher.Filling {
+func bestEffort(number int, image string, percent int) dispatcher.BestEffortTask {
 	run := briarspring.RunRef{Task: briarspring.TaskRef{Workflow: briarspring.WorkflowID(fmt.Sprint(number))}, Run: 1}
-	return dispatcher.Filling{Run: run, Image: image, Cores: 2, Used: 2 * float64(percent) / 100, Percent: percent}
+	return dispatcher.BestEffortTask{Run: run, Image: image, Cores: 2, Used: 2 * float64(percent) / 100, Percent: percent}
 }
 
 // tail returns the true tail of a serving image next to best-effort tasks.
-func (s *simulation) tail(worker, image string, tasks []dispatcher.Filling) float64 {
+func (s *simulation) tail(worker, image string, tasks []dispatcher.BestEffortTask) float64 {
 	cores := 0.0
 	for _, f := range tasks {
 		if f.Image == "heavy" && image == "ledger" {
@@ -44,10 +44,10 @@
 }
 
 // measure takes a measurement of a worker and returns the tail and the decisions.
-func (s *simulation) measure(worker, image string, tasks []dispatcher.Filling) (float64, []dispatcher.Pace) {
+func (s *simulation) measure(worker, image string, tasks []dispatcher.BestEffortTask) (float64, []dispatcher.Pace) {
 	s.now += 500 * time.Millisecond
 	tail := s.tail(worker, image, tasks)
-	return tail, s.p.Decide(s.now, worker, []dispatcher.Serving{{Image: image, Tail: tail, Marked: true}}, tasks)
+	return tail, s.p.Decide(s.now, worker, []dispatcher.ServingTask{{Image: image, TailRatio: tail, Measured: true}}, tasks)
 }
 
 // learn measures all pairs of images.
@@ -56,14 +56,14 @@
 		for _, serving := range []string{"ledger", "archive"} {
 			for _, image := range []string{"heavy", "light"} {
 				worker := serving + image
-				s.measure(worker, serving, []dispatcher.Filling{bestEffort(1, image, 100*(i/4%2))})
+				s.measure(worker, serving, []dispatcher.BestEffortTask{bestEffort(1, image, 100*(i/4%2))})
 			}
 		}
 	}
 }
 
-func lowTail(image string) []dispatcher.Serving {
-	return []dispatcher.Serving{{Image: image, Tail: 0.4, Marked: true}}
+func lowTail(image string) []dispatcher.ServingTask {
+	return []dispatcher.ServingTask{{Image: image, TailRatio: 0.4, Measured: true}}
 }
 
 func TestLearning(t *testing.T) {
@@ -75,29 +75,29 @@
 		assert.Less(t, s.p.RisePerCore("archive", "heavy"), 0.05)
 	})
 	t.Run("sends images where they do not interfere", func(t *testing.T) {
-		assert.Less(t, s.p.Share("new", "heavy", 2, lowTail("ledger"), nil), 0.5)
-		assert.InDelta(t, 1, s.p.Share("new", "heavy", 2, lowTail("archive"), nil), 0)
-		assert.InDelta(t, 1, s.p.Share("new", "light", 2, lowTail("ledger"), nil), 0)
+		assert.Less(t, s.p.SpeedFraction("new", "heavy", 2, lowTail("ledger"), nil), 0.5)
+		assert.InDelta(t, 1, s.p.SpeedFraction("new", "heavy", 2, lowTail("archive"), nil), 0)
+		assert.InDelta(t, 1, s.p.SpeedFraction("new", "light", 2, lowTail("ledger"), nil), 0)
 	})
 	// Tasks of images considered harmless kept starting next to a tail that one of
 	// them raised, and each ran until the next measurement.
 	t.Run("sends no task where a tail is too high", func(t *testing.T) {
-		hot := []dispatcher.Serving{{Image: "archive", Tail: 1.2, Marked: true}}
-		assert.Zero(t, s.p.Share("new", "light", 2, hot, nil))
+		hot := []dispatcher.ServingTask{{Image: "archive", TailRatio: 1.2, Measured: true}}
+		assert.Zero(t, s.p.SpeedFraction("new", "light", 2, hot, nil))
 	})
 	t.Run("returns the fraction of interfering images", func(t *testing.T) {
-		assert.InDelta(t, 0.5, s.p.Burden(lowTail("ledger")), 0)
-		assert.InDelta(t, 0, s.p.Burden(lowTail("archive")), 0)
+		assert.InDelta(t, 0.5, s.p.InterferingFraction(lowTail("ledger")), 0)
+		assert.InDelta(t, 0, s.p.InterferingFraction(lowTail("archive")), 0)
 	})
 	t.Run("is handed on to the next owner", func(t *testing.T) {
 		next := pacer.New()
-		next.Adopt(s.p.Model())
+		next.AdoptModels(s.p.Models())
 		assert.InDelta(t, 0.5, next.RisePerCore("ledger", "heavy"), 0.1)
-		assert.Less(t, next.Share("w", "heavy", 2, lowTail("ledger"), nil), 0.5)
-		assert.InDelta(t, 1, next.Share("w", "heavy", 2, lowTail("archive"), nil), 0)
+		assert.Less(t, next.SpeedFraction("w", "heavy", 2, lowTail("ledger"), nil), 0.5)
+		assert.InDelta(t, 1, next.SpeedFraction("w", "heavy", 2, lowTail("archive"), nil), 0)
 	})
 	t.Run("is not replaced by less precise estimates", func(t *testing.T) {
-		s.p.Adopt([]briarspring.PressModel{{Serving: "ledger", Pairs: []briarspring.PressPair{{Image: "heavy", Rise: 0, Variance: 0.02}}}})
+		s.p.AdoptModels([]briarspring.InterferenceModel{{Serving: "ledger", Pairs: []briarspring.InterferencePair{{Image: "heavy", Rise: 0, Variance: 0.02}}}})
 		assert.InDelta(t, 0.5, s.p.RisePerCore("ledger", "heavy"), 0.1)
 	})
 }
@@ -106,7 +106,7 @@
 	t.Run("slows only interfering tasks", func(t *testing.T) {
 		s := newSimulation()
 		s.learn()
-		tasks := []dispatcher.Filling{bestEffort(1, "heavy", 100), bestEffort(2, "light", 100)}
+		tasks := []dispatcher.BestEffortTask{bestEffort(1, "heavy", 100), bestEffort(2, "light", 100)}
 		_, paces := s.measure("w", "ledger", tasks)
 		assert.Len(t, paces, 1)
 		assert.Equal(t, tasks[0].Run, paces[0].Run)
@@ -116,8 +116,8 @@
 	t.Run("stops all best-effort tasks while a tail stays too high", func(t *testing.T) {
 		s := newSimulation()
 		s.learn()
-		tasks := []dispatcher.Filling{bestEffort(1, "light", 100)}
-		serving := []dispatcher.Serving{{Image: "ledger", Tail: 1.5, Marked: true}}
+		tasks := []dispatcher.BestEffortTask{bestEffort(1, "light", 100)}
+		serving := []dispatcher.ServingTask{{Image: "ledger", TailRatio: 1.5, Measured: true}}
 		var paces []dispatcher.Pace
 		for range 4 {
 			s.now += 500 * time.Millisecond
@@ -127,7 +127,7 @@
 	})
 	t.Run("keeps a tail below its target in the long run", func(t *testing.T) {
 		s := newSimulation()
-		tasks := []dispatcher.Filling{bestEffort(1, "heavy", 100), bestEffort(2, "heavy", 100)}
+		tasks := []dispatcher.BestEffortTask{bestEffort(1, "heavy", 100), bestEffort(2, "heavy", 100)}
 		over := 0
 		for i := range 400 {
 			tail, paces := s.measure("w", "ledger", tasks)
--- a/placer/evict.go
+++ b/placer/evict.go
@@ -36,7 +36,7 @@
 	r.evictions += len(best.victims)
 	w := best.worker
 	for _, v := range best.victims {
-		w.Soon = w.Soon.Add(v.Resources)
+		w.FreeAfterEvictions = w.FreeAfterEvictions.Add(v.Resources)
 		r.evict(v, w, fmt.Sprintf("makes room for %s/%d at cost %d", t.Name, t.State.Index, best.cost))
 	}
 	r.reserve(t, w)
@@ -76,7 +76,7 @@
 		)
 	})
 	p := &evictionPlan{worker: w}
-	free := w.Soon
+	free := w.FreeAfterEvictions
 	for _, v := range batch {
 		if t.Resources.Fits(free) {
 			break
@@ -88,7 +88,7 @@
 	if !t.Resources.Fits(free) {
 		return nil
 	}
-	return p.prune(t, w.Soon)
+	return p.prune(t, w.FreeAfterEvictions)
 }
 
 // prune removes victims that the task doesn't need, most expensive first.
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -33,10 +33,10 @@
 // Config holds the settings of a Placer.
 type Config struct {
 	Rule         Rule // Defaults to RuleInterference.
-	Noise        InterferenceModel
+	Interference InterferenceModel
 	MaxSlowdown  float64 // Highest accepted relative increase of a service's tail latency.
 	MaxEvictions int     // Maximum per round.
-	Rejected     int     // Maximum number of rejected workers listed in a decision.
+	MaxRejected  int     // Maximum number of rejected workers listed in a decision.
 }
 
 // Placer places tasks by the configured rule.
@@ -58,18 +58,18 @@
 	Evicting  bool
 }
 
-// Worker is the placer's view of a worker. Place updates Free and Soon with each
-// decision.
+// Worker is the placer's view of a worker. Place updates Free and
+// FreeAfterEvictions with each decision.
 type Worker struct {
-	Number  uint32
-	Name    string
-	Rack    string
-	Free    briarspring.Resources
-	Soon    briarspring.Resources // Free once pending evictions have finished.
-	Size    briarspring.Resources
-	Usable  bool
-	Why     string // Reason if it is not usable.
-	Running []Running
+	Number             uint32
+	Name               string
+	Rack               string
+	Free               briarspring.Resources
+	FreeAfterEvictions briarspring.Resources // Free once pending evictions have finished.
+	Size               briarspring.Resources
+	Usable             bool
+	UnusableReason     string // Reason if it is not usable.
+	Running            []Running
 
 	services []string
 	slowdown float64
@@ -160,11 +160,11 @@
 // any service on the worker.
 func (r *Round) worstSlowdown(w *Worker, class string) float64 {
 	highest := 0.0
-	if r.placer.config.Noise == nil {
+	if r.placer.config.Interference == nil {
 		return 0
 	}
 	for _, s := range w.services {
-		highest = max(highest, r.placer.config.Noise.Slowdown(s, class))
+		highest = max(highest, r.placer.config.Interference.Slowdown(s, class))
 	}
 	return highest
 }
@@ -184,7 +184,7 @@
 // start records the decision and deducts the task's resources from the worker.
 func (r *Round) start(t Task, w *Worker, reason string, rejected []string) {
 	w.Free = w.Free.Sub(t.Resources)
-	w.Soon = w.Soon.Sub(t.Resources)
+	w.FreeAfterEvictions = w.FreeAfterEvictions.Sub(t.Resources)
 	if t.Service {
 		w.services = append(w.services, t.Name)
 		r.racks[spreadKey{t.Name, w.Rack}]++
@@ -207,7 +207,7 @@
 // placeBatch starts a batch task on the worker where it leaves the least unused
 // and slows services least.
 func (r *Round) placeBatch(t Task) bool {
-	top := newRanking(r.placer.config.Rejected + 1)
+	top := newRanking(r.placer.config.MaxRejected + 1)
 	tooSlow := 0
 	leastSlowed := newRanking(1)
 	for _, w := range r.workers {
@@ -275,7 +275,7 @@
 // placeExecutor starts an executor, spread over workers and racks, or evicts
 // batch tasks to make it fit.
 func (r *Round) placeExecutor(t Task) bool {
-	top := newRanking(r.placer.config.Rejected + 1)
+	top := newRanking(r.placer.config.MaxRejected + 1)
 	for _, w := range r.workers {
 		if !w.Usable || !t.Resources.Fits(w.Free) {
 			continue
@@ -310,10 +310,10 @@
 		}
 	}
 	slowdown := 0.0
-	if r.placer.config.Noise != nil {
+	if r.placer.config.Interference != nil {
 		for _, o := range w.Running {
 			if o.Service == "" {
-				slowdown += r.placer.config.Noise.Slowdown(t.Name, o.Class)
+				slowdown += r.placer.config.Interference.Slowdown(t.Name, o.Class)
 			}
 		}
 	}
@@ -326,7 +326,7 @@
 // pending evictions have finished, or nil.
 func (r *Round) workerAfterEvictions(t Task) *Worker {
 	for _, w := range r.workers {
-		if w.Usable && t.Resources.Fits(w.Soon) {
+		if w.Usable && t.Resources.Fits(w.FreeAfterEvictions) {
 			return w
 		}
 	}
@@ -336,6 +336,6 @@
 // reserve deducts the task's resources from the worker, so that no other task
 // takes what the evictions free.
 func (r *Round) reserve(t Task, w *Worker) {
-	w.Soon = w.Soon.Sub(t.Resources)
+	w.FreeAfterEvictions = w.FreeAfterEvictions.Sub(t.Resources)
 	w.Free = w.Free.Sub(t.Resources)
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -18,7 +18,7 @@
 func worker(number uint32, free int64, running ...placer.Running) *placer.Worker {
 	return &placer.Worker{
 		Number: number, Name: fmt.Sprintf("w%d", number), Rack: fmt.Sprintf("r%d", number/2),
-		Free: cores(free), Soon: cores(free), Size: cores(16), Usable: true, Running: running,
+		Free: cores(free), FreeAfterEvictions: cores(free), Size: cores(16), Usable: true, Running: running,
 	}
 }
 
@@ -40,7 +40,7 @@
 }
 
 func newPlacer(model placer.InterferenceModel) *placer.Placer {
-	return placer.New(placer.Config{Noise: model, MaxSlowdown: 0.2, MaxEvictions: 4, Rejected: 3})
+	return placer.New(placer.Config{Interference: model, MaxSlowdown: 0.2, MaxEvictions: 4, MaxRejected: 3})
 }
 
 // fixedSlowdown predicts the same slowdown for every service.
@@ -108,7 +108,7 @@
 	evicting := batch(3, 8, 5)
 	evicting.Evicting = true
 	w := worker(2, 0, evicting, batch(4, 8, 50))
-	w.Soon = cores(8)
+	w.FreeAfterEvictions = cores(8)
 	d := place(newPlacer(nil), task(6, true), w)
 	require.Len(t, d, 1)
 	assert.Equal(t, placer.KindWait, d[0].Kind)
--- a/registrar/key.go
+++ b/registrar/key.go
@@ -15,7 +15,7 @@
 	prefixFinal      = "f/"
 	prefixTransfer   = "t/"
 	prefixClaim      = "o/"
-	prefixBeat       = "b/"
+	prefixHeartbeat  = "b/"
 	prefixHost       = "h/"
 	prefixRetire     = "q/"
 	prefixModel      = "p/"
@@ -44,14 +44,14 @@
 // ClaimKey returns the key of one attempt to claim a data centre.
 func ClaimKey(dataCentre, attempt string) string { return prefixClaim + dataCentre + "/" + attempt }
 
-// NewTry returns a unique key suffix for one append of a record whose effect
-// depends on its offset. The store keeps only the newest record of each key, so
-// a record appended again under the same key would appear at the offset of the
-// last append.
-func NewTry() string { return strconv.FormatUint(rand.Uint64(), 36) }
+// NewAttemptID returns a unique key suffix for one append of a record whose
+// effect depends on its offset. The store keeps only the newest record of each
+// key, so a record appended again under the same key would appear at the offset
+// of the last append.
+func NewAttemptID() string { return strconv.FormatUint(rand.Uint64(), 36) }
 
-// BeatKey returns the key of the heartbeat of a data centre's owner.
-func BeatKey(dataCentre string) string { return prefixBeat + dataCentre }
+// HeartbeatKey returns the key of the heartbeat of a data centre's owner.
+func HeartbeatKey(dataCentre string) string { return prefixHeartbeat + dataCentre }
 
 // HostKey returns the key of a host's presence.
 func HostKey(host string) string { return prefixHost + host }
--- a/registrar/owner.go
+++ b/registrar/owner.go
@@ -20,7 +20,7 @@
 
 // Heartbeat is an owner's last heartbeat.
 type Heartbeat struct {
-	Content briarspring.OwnerBeat
+	Content briarspring.OwnerHeartbeat
 	At      time.Duration // When the heartbeat was read.
 }
 
@@ -38,10 +38,10 @@
 
 // ownership holds the claims to one data centre.
 type ownership struct {
-	claim  Claim
-	past   []pastClaim
-	beat   Heartbeat
-	silent silentWorkers
+	claim     Claim
+	past      []pastClaim
+	heartbeat Heartbeat
+	silent    silentWorkers
 }
 
 // silentWorkers holds the workers that did not answer the owner with this token
@@ -66,8 +66,8 @@
 // there is none.
 func (r *Registry) Claim(dataCentre string) Claim { return r.ownershipOf(dataCentre).claim }
 
-// Beat returns the last heartbeat of the current owner.
-func (r *Registry) Beat(dataCentre string) Heartbeat { return r.ownershipOf(dataCentre).beat }
+// Heartbeat returns the last heartbeat of the current owner.
+func (r *Registry) Heartbeat(dataCentre string) Heartbeat { return r.ownershipOf(dataCentre).heartbeat }
 
 // Host returns the last presence record of a host.
 func (r *Registry) Host(name string) (briarspring.HostPresence, bool) {
@@ -87,10 +87,10 @@
 	return least, most
 }
 
-// EarlierGone returns when it became certain that no earlier owner of a data
-// centre still gives orders, and false while it is not certain. An owner that
-// can't read the log stops giving orders after maxUnreachable.
-func (r *Registry) EarlierGone(now, maxUnreachable time.Duration, dataCentre string) (time.Duration, bool) {
+// PredecessorsGoneAt returns when it became certain that no earlier owner of a
+// data centre still gives orders, and false while it is not certain. An owner
+// that can't read the log stops giving orders after maxUnreachable.
+func (r *Registry) PredecessorsGoneAt(now, maxUnreachable time.Duration, dataCentre string) (time.Duration, bool) {
 	var last time.Duration
 	for _, p := range r.ownershipOf(dataCentre).past {
 		at := p.goneAt
@@ -105,9 +105,9 @@
 	return last, true
 }
 
-// Silent returns the workers that did not answer the previous owner when it
-// retired, and when their leases have certainly expired.
-func (r *Registry) Silent(dataCentre string) map[string]time.Duration {
+// SilentWorkers returns the workers that did not answer the previous owner when
+// it retired, and when their leases have certainly expired.
+func (r *Registry) SilentWorkers(dataCentre string) map[string]time.Duration {
 	o := r.ownershipOf(dataCentre)
 	for _, p := range slices.Backward(o.past) {
 		if p.claim.Owner == "" {
@@ -147,10 +147,10 @@
 	return Change{DataCentre: c.DataCentre}, nil
 }
 
-func (r *Registry) applyBeat(now time.Duration, dataCentre string, rec briarspring.KeyedRecord) error {
-	b, err := encoder.DecodeOwnerBeat(rec.Value)
+func (r *Registry) applyHeartbeat(now time.Duration, dataCentre string, rec briarspring.KeyedRecord) error {
+	b, err := encoder.DecodeHeartbeat(rec.Value)
 	if o := r.ownershipOf(dataCentre); err == nil && b.Token == o.claim.Token {
-		o.beat = Heartbeat{Content: b, At: now}
+		o.heartbeat = Heartbeat{Content: b, At: now}
 	}
 	return err
 }
@@ -183,7 +183,7 @@
 	dataCentre, number, _ := strings.Cut(rest, "/")
 	token, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
-		return &encoder.MalformedError{What: "retirement", Cause: err}
+		return &encoder.MalformedError{Input: "retirement", Cause: err}
 	}
 	o := r.ownershipOf(dataCentre)
 	if token > o.silent.token {
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -51,8 +51,8 @@
 // Cancelled reports whether the workflow's cancellation is recorded.
 func (e *Entry) Cancelled() bool { return e.cancelled }
 
-// Moved returns the transferred tasks by position.
-func (e *Entry) Moved() map[int]TransferredTask { return e.transferred }
+// TransferredTasks returns the transferred tasks by position.
+func (e *Entry) TransferredTasks() map[int]TransferredTask { return e.transferred }
 
 // DataCentre returns the data centre that runs the task at a position.
 func (e *Entry) DataCentre(position int) string {
@@ -74,9 +74,9 @@
 	workflows   map[briarspring.WorkflowID]*Entry
 	owners      map[string]*ownership // By data centre.
 	hosts       map[string]briarspring.HostPresence
-	waiting     map[string]int                      // By queue.
-	longRunning map[string]int64                    // By data centre; see Lasting.
-	models      map[string][]briarspring.PressModel // By data centre.
+	waiting     map[string]int                             // By queue.
+	longRunning map[string]int64                           // By data centre; see LongRunningMilliCPU.
+	models      map[string][]briarspring.InterferenceModel // By data centre.
 }
 
 // New returns the state before the first record.
@@ -87,7 +87,7 @@
 		hosts:       map[string]briarspring.HostPresence{},
 		waiting:     map[string]int{},
 		longRunning: map[string]int64{},
-		models:      map[string][]briarspring.PressModel{},
+		models:      map[string][]briarspring.InterferenceModel{},
 	}
 }
 
@@ -116,15 +116,16 @@
 // started any task.
 func (r *Registry) Waiting(queue string) int { return r.waiting[queue] }
 
-// Lasting returns how many thousandths of a core the first steps of unfinished
-// long-running workflows reserve in a data centre. The sum is maintained with
-// every record, since owners query it several hundred times a second.
-func (r *Registry) Lasting(dataCentre string) int64 { return r.longRunning[dataCentre] }
+// LongRunningMilliCPU returns how many thousandths of a core the first steps of
+// unfinished long-running workflows reserve in a data centre. The sum is
+// maintained with every record, since owners query it several hundred times a
+// second.
+func (r *Registry) LongRunningMilliCPU(dataCentre string) int64 { return r.longRunning[dataCentre] }
 
-// Models returns the latest interference models of the owners of all data
-// centres.
-func (r *Registry) Models() []briarspring.PressModel {
-	var all []briarspring.PressModel
+// InterferenceModels returns the latest interference models of the owners of
+// all data centres.
+func (r *Registry) InterferenceModels() []briarspring.InterferenceModel {
+	var all []briarspring.InterferenceModel
 	for _, name := range slices.Sorted(maps.Keys(r.models)) {
 		all = append(all, r.models[name]...)
 	}
@@ -214,14 +215,14 @@
 		return r.applyTransfer(rest, rec)
 	case prefixClaim:
 		return r.applyClaim(now, rec)
-	case prefixBeat:
-		return Change{}, r.applyBeat(now, rest, rec)
+	case prefixHeartbeat:
+		return Change{}, r.applyHeartbeat(now, rest, rec)
 	case prefixHost:
 		return Change{}, r.applyHost(now, rest, rec)
 	case prefixRetire:
 		return Change{}, r.applyRetirement(now, rest, rec)
 	case prefixModel:
-		models, err := encoder.DecodePressModels(rec.Value)
+		models, err := encoder.DecodeInterferenceModels(rec.Value)
 		if err == nil {
 			r.models[rest] = models
 		}
@@ -276,7 +277,7 @@
 // addLongRunning adds n times the reservation of e to the sums by data centre
 // if e is an unfinished long-running workflow.
 func (r *Registry) addLongRunning(e *Entry, n int64) {
-	if e.workflow == nil || !e.workflow.Lasting() || e.Phase().Final() {
+	if e.workflow == nil || !e.workflow.LongRunning() || e.Phase().Final() {
 		return
 	}
 	first := e.workflow.Steps[0]
@@ -300,7 +301,7 @@
 }
 
 func (r *Registry) applyPhase(now time.Duration, id briarspring.WorkflowID, rec briarspring.KeyedRecord) (Change, error) {
-	phase, err := encoder.DecodePhaseMark(rec.Value)
+	phase, err := encoder.DecodePhase(rec.Value)
 	if err != nil {
 		return Change{}, err
 	}
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -30,36 +30,36 @@
 // claim appends one attempt to claim tartu and returns the token that the claim
 // has if it is accepted.
 func (s *stream) claim(owner string, previous uint64) uint64 {
-	value, err := encoder.DataCentreClaim(briarspring.DataCentreClaim{
+	value, err := encoder.EncodeDataCentreClaim(briarspring.DataCentreClaim{
 		DataCentre: "tartu", Previous: previous, Owner: owner, Incarnation: 1,
 	})
-	return s.add(registrar.ClaimKey("tartu", registrar.NewTry()), value, err) + 1
+	return s.add(registrar.ClaimKey("tartu", registrar.NewAttemptID()), value, err) + 1
 }
 
 func (s *stream) submit(id briarspring.WorkflowID, dataCentre string) {
-	value, err := encoder.Submission(&briarspring.Workflow{
+	value, err := encoder.EncodeSubmission(&briarspring.Workflow{
 		ID: id, DataCentre: dataCentre, Queue: "urgent", Steps: []briarspring.Step{{Tasks: 2}},
 	})
-	s.add(registrar.SubmissionKey(id, registrar.NewTry()), value, err)
+	s.add(registrar.SubmissionKey(id, registrar.NewAttemptID()), value, err)
 }
 
 func (s *stream) submitLongRunning(id briarspring.WorkflowID, dataCentre string) {
 	needs := briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: 3000, MemoryMiB: 1})
-	value, err := encoder.Submission(&briarspring.Workflow{
-		ID: id, DataCentre: dataCentre, Queue: "lasting", Steps: []briarspring.Step{{Tasks: 3, Resources: needs, Lasting: true}},
+	value, err := encoder.EncodeSubmission(&briarspring.Workflow{
+		ID: id, DataCentre: dataCentre, Queue: "lasting", Steps: []briarspring.Step{{Tasks: 3, Resources: needs, LongRunning: true}},
 	})
-	s.add(registrar.SubmissionKey(id, registrar.NewTry()), value, err)
+	s.add(registrar.SubmissionKey(id, registrar.NewAttemptID()), value, err)
 }
 
 func (s *stream) transfer(id briarspring.WorkflowID, token uint64, number int, from, to string) {
-	value, err := encoder.TaskTransfer(briarspring.TaskTransfer{
+	value, err := encoder.EncodeTaskTransfer(briarspring.TaskTransfer{
 		Token: token, From: from, To: to, Tasks: []briarspring.TaskProgress{{Position: 1, Run: 3}},
 	})
-	s.add(registrar.TransferKey(id, token, number, registrar.NewTry()), value, err)
+	s.add(registrar.TransferKey(id, token, number, registrar.NewAttemptID()), value, err)
 }
 
 func (s *stream) addPhase(key string, p briarspring.Phase) {
-	value, err := encoder.PhaseMark(p)
+	value, err := encoder.EncodePhase(p)
 	s.add(key, value, err)
 }
 
@@ -114,18 +114,18 @@
 	t.Helper()
 	sums := map[string]int64{"tartu": 0, "viljandi": 0, "voru": 0}
 	r.Workflows(func(e *registrar.Entry) {
-		if w := e.Workflow(); w.Lasting() && !e.Phase().Final() {
+		if w := e.Workflow(); w.LongRunning() && !e.Phase().Final() {
 			for position := range w.Steps[0].Tasks {
 				sums[e.DataCentre(position)] += w.Steps[0].Resources.MilliCPU()
 			}
 		}
 	})
 	for dataCentre, want := range sums {
-		assert.Equal(t, want, r.Lasting(dataCentre), dataCentre)
+		assert.Equal(t, want, r.LongRunningMilliCPU(dataCentre), dataCentre)
 	}
 }
 
-func TestLasting(t *testing.T) {
+func TestLongRunning(t *testing.T) {
 	s := &stream{t: t}
 	s.submitLongRunning("a", "tartu")
 	s.submitLongRunning("b", "viljandi")
@@ -214,15 +214,15 @@
 		assertBoth(t, s, func(t *testing.T, r *registrar.Registry) {
 			assert.Equal(t, "tartu", r.Workflow("a").DataCentre(0))
 			assert.Equal(t, "viljandi", r.Workflow("a").DataCentre(1))
-			assert.Equal(t, uint32(3), r.Workflow("a").Moved()[1].Progress.Run)
+			assert.Equal(t, uint32(3), r.Workflow("a").TransferredTasks()[1].Progress.Run)
 		})
 	})
 	t.Run("take effect once, also when repeated after the task was transferred back", func(t *testing.T) {
 		s := &stream{t: t}
 		s.submit("a", "tartu")
 		there := s.claim("host-1", 0)
-		value, err := encoder.DataCentreClaim(briarspring.DataCentreClaim{DataCentre: "viljandi", Owner: "host-9"})
-		back := s.add(registrar.ClaimKey("viljandi", registrar.NewTry()), value, err) + 1
+		value, err := encoder.EncodeDataCentreClaim(briarspring.DataCentreClaim{DataCentre: "viljandi", Owner: "host-9"})
+		back := s.add(registrar.ClaimKey("viljandi", registrar.NewAttemptID()), value, err) + 1
 		s.transfer("a", there, 1, "tartu", "viljandi")
 		s.transfer("a", back, 1, "viljandi", "tartu")
 		s.transfer("a", there, 1, "tartu", "viljandi")
@@ -235,26 +235,26 @@
 func TestEarlierOwners(t *testing.T) {
 	const unreachable = 12 * time.Second
 	retire := func(s *stream, token uint64, silent ...briarspring.SilentWorker) {
-		value, err := encoder.Retirement(briarspring.Retirement{Token: token, Silent: silent})
+		value, err := encoder.EncodeRetirement(briarspring.Retirement{Token: token, Silent: silent})
 		s.add(registrar.RetireKey("tartu", token), value, err)
 	}
 	t.Run("may give orders until the maximum time without the log has passed", func(t *testing.T) {
 		s := &stream{t: t}
 		s.claim("host-2", s.claim("host-1", 0))
 		assertBoth(t, s, func(t *testing.T, r *registrar.Registry) {
-			_, gone := r.EarlierGone(12*time.Second, unreachable, "tartu")
+			_, gone := r.PredecessorsGoneAt(12*time.Second, unreachable, "tartu")
 			assert.False(t, gone)
-			_, gone = r.EarlierGone(13*time.Second, unreachable, "tartu")
+			_, gone = r.PredecessorsGoneAt(13*time.Second, unreachable, "tartu")
 			assert.True(t, gone)
 		})
 	})
 	t.Run("are gone when their process restarted", func(t *testing.T) {
 		s := &stream{t: t}
 		s.claim("host-2", s.claim("host-1", 0))
-		value, err := encoder.HostPresence(briarspring.HostPresence{DataCentre: "tartu", Incarnation: 2})
+		value, err := encoder.EncodeHostPresence(briarspring.HostPresence{DataCentre: "tartu", Incarnation: 2})
 		s.add(registrar.HostKey("host-1"), value, err)
 		assertBoth(t, s, func(t *testing.T, r *registrar.Registry) {
-			at, gone := r.EarlierGone(2*time.Second, unreachable, "tartu")
+			at, gone := r.PredecessorsGoneAt(2*time.Second, unreachable, "tartu")
 			assert.True(t, gone)
 			assert.Equal(t, time.Second, at)
 		})
@@ -267,7 +267,7 @@
 		s.claim("host-2", token)
 		retire(s, token)
 		assertBoth(t, s, func(t *testing.T, r *registrar.Registry) {
-			_, gone := r.EarlierGone(2*time.Second, unreachable, "tartu")
+			_, gone := r.PredecessorsGoneAt(2*time.Second, unreachable, "tartu")
 			assert.True(t, gone)
 		})
 	})
@@ -277,9 +277,9 @@
 		retire(s, token, briarspring.SilentWorker{Worker: "w", LeaseLeft: 2 * time.Second})
 		s.claim("host-2", s.claim("", token))
 		assertBoth(t, s, func(t *testing.T, r *registrar.Registry) {
-			_, gone := r.EarlierGone(2*time.Second, unreachable, "tartu")
+			_, gone := r.PredecessorsGoneAt(2*time.Second, unreachable, "tartu")
 			assert.True(t, gone)
-			assert.Equal(t, map[string]time.Duration{"w": 3 * time.Second}, r.Silent("tartu"))
+			assert.Equal(t, map[string]time.Duration{"w": 3 * time.Second}, r.SilentWorkers("tartu"))
 		})
 	})
 	t.Run("before the previous one don't report its silent workers", func(t *testing.T) {
@@ -287,6 +287,6 @@
 		token := s.claim("host-1", 0)
 		retire(s, token, briarspring.SilentWorker{Worker: "w", LeaseLeft: 2 * time.Second})
 		s.claim("host-3", s.claim("host-2", token))
-		assertBoth(t, s, func(t *testing.T, r *registrar.Registry) { assert.Empty(t, r.Silent("tartu")) })
+		assertBoth(t, s, func(t *testing.T, r *registrar.Registry) { assert.Empty(t, r.SilentWorkers("tartu")) })
 	})
 }
--- a/relayer/client.go
+++ b/relayer/client.go
@@ -168,9 +168,9 @@
 	return page, nil
 }
 
-// RelayedLog is a client of the platform's log that falls back to peers in
+// FallbackLog is a client of the platform's log that falls back to peers in
 // other data centres while direct access fails.
-type RelayedLog struct {
+type FallbackLog struct {
 	direct Log
 	peers  []*Client
 	logger hclog.Logger
@@ -184,14 +184,14 @@
 // through a peer.
 const directRetryDelay = time.Second
 
-// NewRelayedLog returns a log that uses direct, and falls back to the peers.
-func NewRelayedLog(direct Log, peers []*Client, logger hclog.Logger) *RelayedLog {
-	return &RelayedLog{direct: direct, peers: peers, logger: logger}
+// NewFallbackLog returns a log that uses direct, and falls back to the peers.
+func NewFallbackLog(direct Log, peers []*Client, logger hclog.Logger) *FallbackLog {
+	return &FallbackLog{direct: direct, peers: peers, logger: logger}
 }
 
 // Append appends a record. It may be appended twice, since an attempt that
 // returned an error may have succeeded; readers drop the duplicate.
-func (l *RelayedLog) Append(ctx context.Context, stream string, record []byte) (uint64, error) {
+func (l *FallbackLog) Append(ctx context.Context, stream string, record []byte) (uint64, error) {
 	var offset uint64
 	err := l.withFallback(ctx, func(ctx context.Context, log Log) error {
 		var err error
@@ -202,7 +202,7 @@
 }
 
 // Read returns records of a stream, starting at an offset.
-func (l *RelayedLog) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (briarspring.LogPage, error) {
+func (l *FallbackLog) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (briarspring.LogPage, error) {
 	var page briarspring.LogPage
 	err := l.withFallback(ctx, func(ctx context.Context, log Log) error {
 		var err error
@@ -214,7 +214,7 @@
 
 // withFallback tries direct access, then one peer after another, starting with
 // the one that succeeded last.
-func (l *RelayedLog) withFallback(ctx context.Context, call func(context.Context, Log) error) error {
+func (l *FallbackLog) withFallback(ctx context.Context, call func(context.Context, Log) error) error {
 	l.mu.Lock()
 	tryDirect := time.Now().After(l.directAfter)
 	first := l.preferred
@@ -247,7 +247,7 @@
 
 // callDirect tries direct access. If there are peers, it leaves them a third of
 // the time until the caller's deadline.
-func (l *RelayedLog) callDirect(ctx context.Context, call func(context.Context, Log) error) error {
+func (l *FallbackLog) callDirect(ctx context.Context, call func(context.Context, Log) error) error {
 	if deadline, ok := ctx.Deadline(); ok && len(l.peers) > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, deadline.Add(-time.Until(deadline)/3))
@@ -256,7 +256,7 @@
 	return call(ctx, l.direct)
 }
 
-func (l *RelayedLog) preferPeer(n int) {
+func (l *FallbackLog) preferPeer(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if time.Since(l.directAfter) > 2*directRetryDelay {
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -75,13 +75,13 @@
 		assert.True(t, m.GetSnapshot())
 		assert.EqualValues(t, 3, m.GetConfigOffset())
 	})
-	t.Run("relayed log", func(t *testing.T) {
+	t.Run("fallback log", func(t *testing.T) {
 		unreachable := imitator.NewLog(imitator.LogConfig{})
 		unreachable.SetFaults(imitator.LogFaults{Down: true})
-		relayed := relayer.NewRelayedLog(unreachable, []*relayer.Client{client}, nullLogger())
-		offset, err := relayed.Append(ctx, "config", []byte("record"))
+		fallback := relayer.NewFallbackLog(unreachable, []*relayer.Client{client}, nullLogger())
+		offset, err := fallback.Append(ctx, "config", []byte("record"))
 		require.NoError(t, err)
-		page, err := relayed.Read(ctx, "config", offset, 10, 0)
+		page, err := fallback.Read(ctx, "config", offset, 10, 0)
 		require.NoError(t, err)
 		require.Len(t, page.Entries, 1)
 		assert.Equal(t, "record", string(page.Entries[0].Record))
--- a/replayer/measure.go
+++ b/replayer/measure.go
@@ -11,16 +11,16 @@
 
 // Measures are the results of a replay.
 type Measures struct {
-	UrgentRatio    float64 // 99th percentile of executors' latency, relative to that without interference.
-	UrgentWorst    float64 // The highest such ratio.
-	BatchShare     float64 // Batch work per CPU time that executors left, while measuring.
-	LostShare      float64 // Fraction of batch work that was lost.
-	Evictions      float64
-	Doubled        float64 // Starts of tasks that were running elsewhere or known to be finished.
-	Overcommitted  float64 // Starts that overcommitted a worker.
-	Unfinished     float64 // Unfinished tasks of jobs that should have finished.
-	LateStarts     float64 // Starts in a data centre more than 3 s after it was taken out.
-	StartsAfterCut float64 // Starts of tasks more than 3 s after their job was cancelled.
+	UrgentRatio       float64 // 99th percentile of executors' latency, relative to that without interference.
+	UrgentWorst       float64 // The highest such ratio.
+	BatchShare        float64 // Batch work per CPU time that executors left, while measuring.
+	LostShare         float64 // Fraction of batch work that was lost.
+	Evictions         float64
+	Doubled           float64 // Starts of tasks that were running elsewhere or known to be finished.
+	Overcommitted     float64 // Starts that overcommitted a worker.
+	Unfinished        float64 // Unfinished tasks of jobs that should have finished.
+	LateStarts        float64 // Starts in a data centre more than 3 s after it was taken out.
+	StartsAfterCancel float64 // Starts of tasks more than 3 s after their job was cancelled.
 }
 
 // measureNames are the names by which a trace's outcomes refer to measures, in
@@ -37,7 +37,7 @@
 func (m Measures) Get(name string) (float64, bool) {
 	values := []float64{
 		m.UrgentRatio, m.UrgentWorst, m.BatchShare, m.LostShare, m.Evictions,
-		m.Doubled, m.Overcommitted, m.Unfinished, m.LateStarts, m.StartsAfterCut,
+		m.Doubled, m.Overcommitted, m.Unfinished, m.LateStarts, m.StartsAfterCancel,
 	}
 	i := slices.Index(measureNames, name)
 	if i < 0 {
@@ -46,8 +46,9 @@
 	return values[i], true
 }
 
-// Missed describes the outcomes of a trace that the measures do not meet.
-func (t Trace) Missed(m Measures) []string {
+// UnmetOutcomes describes the outcomes of a trace that the measures do not
+// meet.
+func (t Trace) UnmetOutcomes(m Measures) []string {
 	var out []string
 	for _, o := range t.Outcomes {
 		v, _ := m.Get(o.Measure)
--- a/replayer/replayer.go
+++ b/replayer/replayer.go
@@ -137,7 +137,7 @@
 func (r *Replayer) startScheduler(dataCentre, name string) {
 	s := scheduler.New(scheduler.Config{
 		Name: name, DataCentre: dataCentre, Log: r.log.Client(name), Workers: r.fleets[dataCentre].Client(name),
-		Hosts: r.hosts, Logger: r.logger, Rule: r.rule,
+		Hosts: r.hosts, Logger: r.logger, PlacementRule: r.rule,
 	})
 	ctx, cancel := context.WithCancel(r.ctx)
 	r.schedulers[name] = s
@@ -154,7 +154,7 @@
 func (r *Replayer) waitUntilUp() error {
 	for end := time.Now().Add(startupTimeout); time.Now().Before(end); time.Sleep(sampleInterval) {
 		up := true
-		r.anyScheduler().View(func(conf *applier.Config, _ *applier.Placement) {
+		r.anyScheduler().ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 			for _, d := range r.trace.DataCentres {
 				c := conf.DataCentre(d.Name)
 				up = up && c != nil && int(c.Summary().Workers) == d.Workers
@@ -173,7 +173,7 @@
 	end := r.start.Add(time.Duration(r.trace.MeasureTo))
 	for time.Now().Before(end) && r.ctx.Err() == nil {
 		out := map[string]bool{}
-		r.anyScheduler().View(func(conf *applier.Config, _ *applier.Placement) {
+		r.anyScheduler().ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 			for _, d := range conf.DataCentres() {
 				out[d.Name()] = d.Out()
 			}
@@ -233,7 +233,7 @@
 func (r *Replayer) killOwner(dataCentre string) {
 	for i := range schedulersPerDataCentre {
 		name := fmt.Sprintf("%s-s%d", dataCentre, i)
-		if r.schedulers[name].Owner() {
+		if r.schedulers[name].IsOwner() {
 			r.cancels[name]()
 			<-r.schedulers[name].Done()
 			r.startScheduler(dataCentre, name)
@@ -282,7 +282,7 @@
 
 func (r *Replayer) setOut(dataCentre string, out bool) error {
 	var version uint64
-	r.anyScheduler().View(func(conf *applier.Config, _ *applier.Placement) { version = conf.DataCentre(dataCentre).Version() })
+	r.anyScheduler().ReadStates(func(conf *applier.Config, _ *applier.Placement) { version = conf.DataCentre(dataCentre).Version() })
 	if !out {
 		list := r.outIntervals[dataCentre]
 		list[len(list)-1].to = time.Now()
@@ -324,6 +324,6 @@
 		}
 	}
 	if at, ok := r.cancelled[e.Name]; ok && e.Time.After(at.Add(startGracePeriod)) {
-		m.StartsAfterCut++
+		m.StartsAfterCancel++
 	}
 }
--- a/replayer/replayer_test.go
+++ b/replayer/replayer_test.go
@@ -35,7 +35,7 @@
 			require.NoError(t, err)
 			m := replay(t, trace, placer.RuleInterference)
 			t.Logf("%+v", m)
-			assert.Empty(t, trace.Missed(m))
+			assert.Empty(t, trace.UnmetOutcomes(m))
 		})
 	}
 }
--- a/replicator/replicator.go
+++ b/replicator/replicator.go
@@ -91,7 +91,7 @@
 	all     bool // The subscriber must read the whole state.
 }
 
-// Subscribe returns a subscription whose first Take asks to read the whole
+// Subscribe returns a subscription whose first Drain asks to read the whole
 // state.
 func (r *Replica) Subscribe() *Subscription {
 	r.mu.Lock()
@@ -117,9 +117,9 @@
 // Changed returns a channel that receives a value after records were applied.
 func (s *Subscription) Changed() <-chan struct{} { return s.changed }
 
-// Take returns the changes since the last call, or true when the caller must
+// Drain returns the changes since the last call, or true when the caller must
 // read the whole state instead.
-func (s *Subscription) Take() (changes []registrar.Change, all bool) {
+func (s *Subscription) Drain() (changes []registrar.Change, all bool) {
 	s.replica.mu.Lock()
 	defer s.replica.mu.Unlock()
 	changes, all = s.pending, s.all
--- a/router/router.go
+++ b/router/router.go
@@ -22,11 +22,11 @@
 
 // Config holds the settings of a Router.
 type Config struct {
-	Rule        Rule
-	Seat        int // Index of this gateway in its data centre, from 0.
-	Seats       int // Number of gateways that share the executors' slots.
-	QueueLength int // Maximum number of waiting requests per service.
-	Seed        uint64
+	Rule         Rule
+	GatewayIndex int // Index of this gateway in its data centre, from 0.
+	GatewayCount int // Number of gateways that share the executors' slots.
+	QueueLength  int // Maximum number of waiting requests per service.
+	Seed         uint64
 }
 
 // Executor is an upstream as announced by the scheduler.
@@ -118,7 +118,7 @@
 
 // New returns a router without executors.
 func New(c Config) *Router {
-	c.Seats = max(c.Seats, 1)
+	c.GatewayCount = max(c.GatewayCount, 1)
 	if c.Rule == "" {
 		c.Rule = RuleWeighted
 	}
@@ -129,12 +129,12 @@
 }
 
 // Share returns how many of total slots or connections belong to the gateway with
-// index seat. The shares of all seats add up to total; number rotates the
-// remainder, so that it is spread evenly over many executors.
-func Share(total int, number uint32, seat, seats int) int {
-	base := total / seats
-	remainder := total % seats
-	position := (seat + int(number%uint32(seats))) % seats
+// the given index. The shares of all gateways add up to total; number rotates
+// the remainder, so that it is spread evenly over many executors.
+func Share(total int, number uint32, gateway, gateways int) int {
+	base := total / gateways
+	remainder := total % gateways
+	position := (gateway + int(number%uint32(gateways))) % gateways
 	if position < remainder {
 		return base + 1
 	}
@@ -154,7 +154,7 @@
 		s.executors = slices.Insert(s.executors, i, x)
 	}
 	x.Executor = e
-	x.share = Share(e.Slots, e.Number, r.config.Seat, r.config.Seats)
+	x.share = Share(e.Slots, e.Number, r.config.GatewayIndex, r.config.GatewayCount)
 }
 
 // Remove removes an executor. Assignments on it must still be released.
@@ -312,9 +312,9 @@
 	return r.Drain(a.Executor.Service, now)
 }
 
-// Note records the outcome of an assignment. The slot is released separately,
-// since an executor may continue a request that nobody waits for.
-func (r *Router) Note(a Assignment, result Result, now time.Time) {
+// RecordResult records the outcome of an assignment. The slot is released
+// separately, since an executor may continue a request that nobody waits for.
+func (r *Router) RecordResult(a Assignment, result Result, now time.Time) {
 	x := r.executors[a.Executor.ID]
 	if x == nil {
 		return
@@ -396,8 +396,8 @@
 	return names
 }
 
-// Known returns all executors, sorted by ID.
-func (r *Router) Known() []Executor {
+// Executors returns all executors, sorted by ID.
+func (r *Router) Executors() []Executor {
 	var list []Executor
 	for _, x := range r.executors {
 		list = append(list, x.Executor)
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -23,15 +23,15 @@
 
 func TestSharesAddUp(t *testing.T) {
 	for total := range 70 {
-		for seats := 1; seats <= 9; seats++ {
+		for gateways := 1; gateways <= 9; gateways++ {
 			for number := range uint32(20) {
 				sum, least, most := 0, total, 0
-				for seat := range seats {
-					n := router.Share(total, number, seat, seats)
+				for gateway := range gateways {
+					n := router.Share(total, number, gateway, gateways)
 					sum += n
 					least, most = min(least, n), max(most, n)
 				}
-				require.Equal(t, total, sum, "%d slots, executor %d, %d seats", total, number, seats)
+				require.Equal(t, total, sum, "%d slots, executor %d, %d gateways", total, number, gateways)
 				require.LessOrEqual(t, most-least, 1)
 			}
 		}
@@ -75,7 +75,7 @@
 	for range 3 {
 		a, refusal := r.Submit(request("q", time.Hour), now)
 		require.Nil(t, refusal)
-		r.Note(*a, router.ResultFailed, now)
+		r.RecordResult(*a, router.ResultFailed, now)
 		r.Release(*a, now)
 	}
 	_, refusal := r.Submit(request("q", 10*time.Millisecond), now)
@@ -86,7 +86,7 @@
 	assert.True(t, probe.Probe)
 	other, _ := r.Submit(request("r", time.Hour), now)
 	assert.Nil(t, other, "one probe at a time")
-	r.Note(*probe, router.ResultServed, now)
+	r.RecordResult(*probe, router.ResultServed, now)
 	assert.NotEmpty(t, r.Release(*probe, now), "it has recovered")
 }
 
@@ -105,7 +105,7 @@
 		if a.Executor.ID == "x0" {
 			latency = 50 * time.Millisecond
 		}
-		r.Note(*a, router.ResultServed, now.Add(latency))
+		r.RecordResult(*a, router.ResultServed, now.Add(latency))
 		r.Release(*a, now)
 	}
 	assert.Less(t, counts["x0"], 20)
@@ -121,5 +121,5 @@
 	assert.NotNil(t, refusal)
 	r.Remove("x0")
 	assert.Empty(t, r.Release(*a, start))
-	assert.Empty(t, r.Known())
+	assert.Empty(t, r.Executors())
 }
--- a/scheduler/agent.go
+++ b/scheduler/agent.go
@@ -239,16 +239,16 @@
 }
 
 // outageThreshold is the time without a read of the log after which leases are
-// extended to OutageLease. Nothing can be restarted elsewhere until the log is
-// back, so short leases have no use then, and tasks survive a scheduler that
-// dies meanwhile.
+// extended to OutageLeaseDuration. Nothing can be restarted elsewhere until the
+// log is back, so short leases have no use then, and tasks survive a scheduler
+// that dies meanwhile.
 const outageThreshold = 5 * time.Second
 
 func (s *Scheduler) leaseDuration() time.Duration {
 	if time.Since(s.placementReadAt) > outageThreshold {
-		return s.config.OutageLease
+		return s.config.OutageLeaseDuration
 	}
-	return s.config.Lease
+	return s.config.LeaseDuration
 }
 
 // addTaskCommands adds the commands for one open attempt.
@@ -283,7 +283,7 @@
 
 // draining reports whether an executor to be stopped must keep serving for now.
 func (s *Scheduler) draining(a *agent, attempt briarspring.AttemptID) bool {
-	if l := s.placement.Load(attempt.Task.Workload); l == nil || !l.Service() {
+	if l := s.placement.Workload(attempt.Task.Workload); l == nil || !l.Service() {
 		return false
 	}
 	now := time.Now()
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -29,8 +29,8 @@
 	return fmt.Sprintf("the log did not answer in time; ask again with request id %q", e.RequestID)
 }
 
-// View calls f with both states. They must not be used after f returns.
-func (s *Scheduler) View(f func(conf *applier.Config, placement *applier.Placement)) {
+// ReadStates calls f with both states. They must not be used after f returns.
+func (s *Scheduler) ReadStates(f func(conf *applier.Config, placement *applier.Placement)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.conf, s.placement)
@@ -56,8 +56,8 @@
 	return s.placementCommitter != nil
 }
 
-// Owner reports whether this scheduler owns the data centre's workers.
-func (s *Scheduler) Owner() bool {
+// IsOwner reports whether this scheduler owns the data centre's workers.
+func (s *Scheduler) IsOwner() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.owns()
@@ -101,8 +101,8 @@
 
 // Explanation holds the reasons for a task's current state.
 type Explanation struct {
-	Waiting   string // Why the task waits; empty if it does not.
-	Decisions []Decision
+	WaitReason string // Why the task waits; empty if it does not.
+	Decisions  []Decision
 }
 
 const maxExplainedDecisions = 20
@@ -112,8 +112,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Explanation{
-		Waiting:   s.waiting.reason(id.Workload),
-		Decisions: s.decisions.newest(maxExplainedDecisions, func(d Decision) bool { return d.Attempt.Task == id }),
+		WaitReason: s.waiting.reason(id.Workload),
+		Decisions:  s.decisions.newest(maxExplainedDecisions, func(d Decision) bool { return d.Attempt.Task == id }),
 	}
 }
 
@@ -124,9 +124,9 @@
 	return s.decisions.newest(n, func(Decision) bool { return true })
 }
 
-// Watch returns a channel of new decisions, which a slow reader may miss. It
-// sends none after the context ends.
-func (s *Scheduler) Watch(ctx context.Context) <-chan Decision {
+// WatchDecisions returns a channel of new decisions, which a slow reader may
+// miss. It sends none after the context ends.
+func (s *Scheduler) WatchDecisions(ctx context.Context) <-chan Decision {
 	ch := make(chan Decision, watcherQueueLength)
 	s.mu.Lock()
 	s.decisions.watchers[ch] = struct{}{}
@@ -139,8 +139,8 @@
 	return ch
 }
 
-// Leaving reports whether a worker's host is leaving.
-func (s *Scheduler) Leaving(worker string) bool {
+// HostLeaving reports whether a worker's host is leaving.
+func (s *Scheduler) HostLeaving(worker string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.agents[worker]
--- a/scheduler/apply.go
+++ b/scheduler/apply.go
@@ -14,7 +14,7 @@
 	case !item.CaughtUp.IsZero():
 		s.configReadAt = item.CaughtUp
 		return
-	case item.Bad != nil:
+	case item.DecodeErr != nil:
 		s.conf.Skip(item.Offset)
 	default:
 		s.observeSnapshotChunk(briarspring.ConfigStream, item)
@@ -66,7 +66,7 @@
 	case !item.CaughtUp.IsZero():
 		s.placementReadAt = item.CaughtUp
 		return
-	case item.Bad != nil:
+	case item.DecodeErr != nil:
 		s.placement.Skip(item.Offset)
 	default:
 		s.observeSnapshotChunk(briarspring.PlacementStream(s.config.DataCentre), item)
--- a/scheduler/bounds_test.go
+++ b/scheduler/bounds_test.go
@@ -40,17 +40,17 @@
 	return cl
 }
 
-// owner returns the name of a data centre's owner and that of its follower.
+// owner returns the scheduler that owns a data centre, and another one.
 func (cl *cluster) owner(dataCentre string) (owner, other string) {
 	first, second := dataCentre+"-s0", dataCentre+"-s1"
-	if cl.schedulers[first].Owner() {
+	if cl.schedulers[first].IsOwner() {
 		return first, second
 	}
-	require.True(cl.t, cl.schedulers[second].Owner())
+	require.True(cl.t, cl.schedulers[second].IsOwner())
 	return second, first
 }
 
-// starts returns how many attempts of a workload the workers have started.
+// starts returns how many attempts the workers have started of a workload.
 func (cl *cluster) starts(name string) int {
 	n := 0
 	for _, e := range cl.journal.Entries() {
@@ -96,7 +96,7 @@
 		giveUp := make(chan struct{})
 		cl.schedulers[owner].Stop(giveUp)
 		cl.kill(owner)
-		cl.waitFor(bound, "the other one owns", func() bool { return cl.schedulers[other].Owner() })
+		cl.waitFor(bound, "the other one owns", func() bool { return cl.schedulers[other].IsOwner() })
 	})
 }
 
@@ -137,7 +137,7 @@
 		}},
 		{"starts delayed on their way", func(cl *cluster, _ map[string]*gate) func() {
 			cl.fleets["voru"].SetFaults(imitator.FleetFaults{DelayedCalls: 1, Delay: 6 * time.Second})
-			time.Sleep(1500 * time.Millisecond) // Starts are in flight when the record is accepted.
+			time.Sleep(1500 * time.Millisecond) // Starts are under way when the record is accepted.
 			return func() { cl.fleets["voru"].SetFaults(imitator.FleetFaults{}) }
 		}},
 	}
@@ -164,7 +164,7 @@
 				require.NoError(t, cl.submit(s, 0, archive(t, "index", 400, "index time=300ms")).Err)
 				cl.waitFor(10*time.Second, "tasks run", func() bool { return cl.starts("index") > 20 })
 				var version uint64
-				s.View(func(conf *applier.Config, _ *applier.Placement) { version = conf.DataCentre("voru").Version() })
+				s.ReadStates(func(conf *applier.Config, _ *applier.Placement) { version = conf.DataCentre("voru").Version() })
 				time.Sleep(moment)
 				heal := c.fault(cl, gates)
 				time.Sleep(100 * time.Millisecond)
@@ -194,7 +194,7 @@
 		cl.waitFor(bound, "every process has it", func() bool {
 			for _, s := range cl.schedulers {
 				ok := false
-				s.View(func(conf *applier.Config, _ *applier.Placement) { ok = conf.Applied() >= a.Offset })
+				s.ReadStates(func(conf *applier.Config, _ *applier.Placement) { ok = conf.Applied() >= a.Offset })
 				if !ok {
 					return false
 				}
@@ -238,7 +238,7 @@
 				if !s.Ready() {
 					continue
 				}
-				s.View(func(conf *applier.Config, _ *applier.Placement) {
+				s.ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 					assert.GreaterOrEqual(t, conf.Applied(), offsets[n], "%s went back", n)
 					offsets[n] = conf.Applied()
 				})
@@ -246,7 +246,7 @@
 		}
 		time.Sleep(15 * time.Second)
 		for _, n := range names {
-			cl.schedulers[n].View(func(conf *applier.Config, _ *applier.Placement) {
+			cl.schedulers[n].ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 				if assert.NotNil(t, conf.Service("ledger"), n) {
 					assert.Equal(t, a.Version, conf.Service("ledger").Version())
 				}
@@ -278,7 +278,7 @@
 				for r := range rounds {
 					s := cl.schedulers[names[(w+r)%len(names)]]
 					var version uint64
-					s.View(func(conf *applier.Config, _ *applier.Placement) { version = conf.Service("ledger").Version() })
+					s.ReadStates(func(conf *applier.Config, _ *applier.Placement) { version = conf.Service("ledger").Version() })
 					wanted := uint32(1 + (w*rounds+r)%50)
 					a, err := s.Submit(cl.ctx, briarspring.Command{
 						RequestID: fmt.Sprintf("w%d-%d", w, r), ExpectedVersion: version, Change: ledger(t, wanted),
@@ -307,7 +307,7 @@
 			newest = max(newest, v)
 		}
 		for _, name := range names {
-			cl.schedulers[name].View(func(conf *applier.Config, _ *applier.Placement) {
+			cl.schedulers[name].ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 				w := conf.Service("ledger")
 				assert.Equal(t, newest, w.Version(), "the last acknowledged change is in force")
 				assert.Equal(t, accepted[newest], w.Service().Executors())
@@ -329,7 +329,7 @@
 		}
 		cl.waitFor(15*time.Second, "the fleet is full", func() bool {
 			full := false
-			s.View(func(_ *applier.Config, placement *applier.Placement) {
+			s.ReadStates(func(_ *applier.Config, placement *applier.Placement) {
 				n := 0
 				for _, w := range placement.Workers() {
 					n += w.Len()
@@ -342,7 +342,7 @@
 		require.NoError(t, cl.submit(s, 0, briarspring.CancelJobs{Names: names}).Err)
 		cl.waitFor(bound, "nothing runs", func() bool {
 			idle := true
-			s.View(func(_ *applier.Config, placement *applier.Placement) {
+			s.ReadStates(func(_ *applier.Config, placement *applier.Placement) {
 				for _, w := range placement.Workers() {
 					idle = idle && w.Len() == 0
 				}
@@ -367,7 +367,7 @@
 			cl.eventually(s, 3*time.Minute, "the good job finishes", jobDone(fmt.Sprintf("good-%d", i)))
 		}
 		cl.eventually(s, 5*time.Minute, "the poisoned job is given up", jobDone("poisoned"))
-		s.View(func(conf *applier.Config, _ *applier.Placement) {
+		s.ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 			for i := range 3 {
 				assert.EqualValues(t, 20, conf.Job(fmt.Sprintf("good-%d", i)).Totals().Done)
 			}
@@ -403,7 +403,7 @@
 	})
 }
 
-// TestCrashAtEachStep kills the owner at moments that are closer together than
+// TestCrashAtEachStep kills the owner at moments that lie closer together than
 // the steps of an eviction and of the start that follows it.
 func TestCrashAtEachStep(t *testing.T) {
 	const moments, apart = 60, 6 * time.Millisecond
@@ -440,7 +440,7 @@
 		time.Sleep(time.Second) // Delay of the list of hosts.
 		cl.waitFor(bound, "the executor is being evicted", func() bool {
 			evicting := 0
-			s.View(func(_ *applier.Config, placement *applier.Placement) {
+			s.ReadStates(func(_ *applier.Config, placement *applier.Placement) {
 				w := placement.WorkerByName("tartu-w01")
 				for _, id := range w.Tasks() {
 					if placement.Task(id).Evicting() {
@@ -458,15 +458,15 @@
 	})
 }
 
-// TestExecutorsReturn checks that a data centre that is back in service gets
-// executors again, one at a time.
+// TestExecutorsReturn checks that a data centre that returns gets executors
+// again, one at a time.
 func TestExecutorsReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newPair(t, imitator.LogConfig{AppendsPerSecond: 300}, 3, "tartu", "voru")
 		s := cl.schedulers["tartu-s0"]
 		require.NoError(t, cl.submit(s, 0, ledger(t, 6)).Err)
 		assigned := func(dataCentre string) (n uint32) {
-			s.View(func(conf *applier.Config, _ *applier.Placement) {
+			s.ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 				if w := conf.Service("ledger"); w != nil {
 					n = w.Assigned(dataCentre)
 				}
@@ -475,7 +475,7 @@
 		}
 		cl.waitFor(5*time.Second, "executors start", func() bool { return cl.starts("ledger") == 6 })
 		var version uint64
-		s.View(func(conf *applier.Config, _ *applier.Placement) { version = conf.DataCentre("voru").Version() })
+		s.ReadStates(func(conf *applier.Config, _ *applier.Placement) { version = conf.DataCentre("voru").Version() })
 		out := cl.submit(s, version, briarspring.TakeOut{DataCentre: "voru"})
 		require.NoError(t, out.Err)
 		cl.waitFor(10*time.Second, "all executors move", func() bool { return assigned("tartu") == 6 && assigned("voru") == 0 })
--- a/scheduler/cluster_test.go
+++ b/scheduler/cluster_test.go
@@ -148,7 +148,7 @@
 	begin := time.Now()
 	for time.Since(begin) < within {
 		ok := false
-		s.View(func(conf *applier.Config, placement *applier.Placement) { ok = condition(conf, placement) })
+		s.ReadStates(func(conf *applier.Config, placement *applier.Placement) { ok = condition(conf, placement) })
 		if ok {
 			return time.Since(begin)
 		}
@@ -174,7 +174,7 @@
 		if w == nil {
 			return false
 		}
-		l := placement.Load(w.ID())
+		l := placement.Workload(w.ID())
 		return l != nil && l.Placed() >= n
 	}
 }
--- a/scheduler/decide.go
+++ b/scheduler/decide.go
@@ -90,7 +90,7 @@
 			}
 		}
 		s.recordDecision(Decision{
-			Kind: string(d.Kind), Attempt: d.Attempt, Worker: d.Host, Reason: d.Reason, Rejected: d.Rejected,
+			Kind: string(d.Kind), Attempt: d.Attempt, Worker: d.Host, Reason: d.Reason, RejectedWorkers: d.Rejected,
 		})
 	}
 	return events
@@ -102,10 +102,10 @@
 	for _, w := range s.placement.Workers() {
 		v := &placer.Worker{
 			Number: w.Number(), Name: w.Name(), Rack: w.Rack(),
-			Free: w.Free(), Soon: w.Free(), Size: w.Capacity(),
+			Free: w.Free(), FreeAfterEvictions: w.Free(), Size: w.Capacity(),
 		}
-		v.Why = s.unusableReason(w, now)
-		v.Usable = v.Why == ""
+		v.UnusableReason = s.unusableReason(w, now)
+		v.Usable = v.UnusableReason == ""
 		if v.Usable {
 			s.addRunningTasks(v, w)
 		}
@@ -117,7 +117,7 @@
 func (s *Scheduler) addRunningTasks(v *placer.Worker, w *applier.Worker) {
 	for _, id := range w.Tasks() {
 		t := s.placement.Task(id)
-		l := s.placement.Load(id.Workload)
+		l := s.placement.Workload(id.Workload)
 		r := placer.Running{
 			Attempt:   briarspring.AttemptID{Task: id, Attempt: t.Attempt()},
 			Resources: l.Resources(),
@@ -130,7 +130,7 @@
 			r.Service = c.Name()
 		}
 		if r.Evicting {
-			v.Soon = v.Soon.Add(r.Resources)
+			v.FreeAfterEvictions = v.FreeAfterEvictions.Add(r.Resources)
 		}
 		v.Running = append(v.Running, r)
 	}
@@ -168,7 +168,7 @@
 		for _, id := range w.Tasks() {
 			t := s.placement.Task(id)
 			if !t.Evicting() && !t.Cancelled() {
-				events = append(events, s.evictIntent(s.placement.Load(id.Workload), t, "its host is leaving"))
+				events = append(events, s.evictIntent(s.placement.Workload(id.Workload), t, "its host is leaving"))
 			}
 		}
 	}
--- a/scheduler/decisions.go
+++ b/scheduler/decisions.go
@@ -15,14 +15,14 @@
 
 // Decision describes one decision of the scheduler and its reason.
 type Decision struct {
-	Time     time.Time
-	Kind     string
-	Attempt  briarspring.AttemptID
-	Name     string // Name of the workload.
-	Worker   string
-	Reason   string
-	Ratio    float64 // Tail latency divided by its baseline, if that was the reason.
-	Rejected []string
+	Time            time.Time
+	Kind            string
+	Attempt         briarspring.AttemptID
+	Name            string // Name of the workload.
+	Worker          string
+	Reason          string
+	LatencyRatio    float64 // Tail latency divided by its baseline, if that was the reason.
+	RejectedWorkers []string
 }
 
 // decisionLog keeps the latest decisions and sends new ones to watchers.
@@ -74,11 +74,11 @@
 		"workload", d.Name, "index", d.Attempt.Task.Index, "attempt", d.Attempt.Attempt,
 		"worker", d.Worker, "reason", d.Reason,
 	}
-	if d.Ratio > 0 {
-		args = append(args, "ratio", d.Ratio)
+	if d.LatencyRatio > 0 {
+		args = append(args, "ratio", d.LatencyRatio)
 	}
-	if len(d.Rejected) > 0 {
-		args = append(args, "rejected", d.Rejected)
+	if len(d.RejectedWorkers) > 0 {
+		args = append(args, "rejected", d.RejectedWorkers)
 	}
 	s.logger.Info("decision "+d.Kind, args...)
 	s.decisions.add(d)
--- a/scheduler/feed.go
+++ b/scheduler/feed.go
@@ -28,8 +28,8 @@
 	for _, q := range s.conf.Quotas() {
 		m.Quotas = append(m.Quotas, encoder.EncodeQuota(q.Quota))
 	}
-	for _, id := range s.placement.Loads() {
-		l := s.placement.Load(id)
+	for _, id := range s.placement.Workloads() {
+		l := s.placement.Workload(id)
 		w := s.conf.Workload(id)
 		if w == nil || w.Service() == nil {
 			continue
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -54,7 +54,7 @@
 // on.
 type composition struct {
 	clock time.Duration
-	batch []learner.Beside
+	batch []learner.Colocated
 }
 
 func (g *interferenceControl) init() {
@@ -99,7 +99,7 @@
 		s.learner.Observe(c.Name(), u.P99, batch)
 		highestRatio = max(highestRatio, s.learner.Ratio(c.Name(), u.P99))
 	}
-	if highestRatio > 0 && (s.config.Rule == "" || s.config.Rule == placer.RuleInterference) {
+	if highestRatio > 0 && (s.config.PlacementRule == "" || s.config.PlacementRule == placer.RuleInterference) {
 		s.adjustThrottles(a, w, highestRatio)
 	}
 	if now := time.Now(); now.Sub(s.interference.lastDecay) > decayInterval {
@@ -110,7 +110,7 @@
 
 // runningBatch returns the running batch tasks on a worker by class, sorted by
 // class. A throttled task counts as its throttle's fraction of a task.
-func (s *Scheduler) runningBatch(a *agent) []learner.Beside {
+func (s *Scheduler) runningBatch(a *agent) []learner.Colocated {
 	counts := map[string]float64{}
 	for attempt, r := range a.reported {
 		if r.Phase != briarspring.TaskRunning {
@@ -122,16 +122,16 @@
 		}
 		counts[c.Job().Class()] += float64(s.interference.throttlePercent(attempt)) / unthrottledPercent
 	}
-	var batch []learner.Beside
+	var batch []learner.Colocated
 	for class, n := range counts {
-		batch = append(batch, learner.Beside{Class: class, Tasks: n})
+		batch = append(batch, learner.Colocated{Class: class, Tasks: n})
 	}
-	slices.SortFunc(batch, func(x, y learner.Beside) int { return cmp.Compare(x.Class, y.Class) })
+	slices.SortFunc(batch, func(x, y learner.Colocated) int { return cmp.Compare(x.Class, y.Class) })
 	return batch
 }
 
 // addComposition stores the batch tasks that run from a clock reading on.
-func (w *workerInterference) addComposition(clock time.Duration, batch []learner.Beside) {
+func (w *workerInterference) addComposition(clock time.Duration, batch []learner.Colocated) {
 	w.history = append(w.history, composition{clock: clock, batch: batch})
 	if len(w.history) > maxCompositions {
 		w.history = w.history[len(w.history)-maxCompositions:]
@@ -141,7 +141,7 @@
 // compositionAt returns the batch tasks that ran at a clock reading. It returns
 // false if they are not known or the next composition has other classes. A
 // worker reports every change, so the task counts are those of that moment.
-func (w *workerInterference) compositionAt(clock time.Duration) ([]learner.Beside, bool) {
+func (w *workerInterference) compositionAt(clock time.Duration) ([]learner.Colocated, bool) {
 	i := len(w.history) - 1
 	for i >= 0 && w.history[i].clock > clock {
 		i--
@@ -156,7 +156,7 @@
 	return batch, true
 }
 
-func equalClass(a, b learner.Beside) bool { return a.Class == b.Class }
+func equalClass(a, b learner.Colocated) bool { return a.Class == b.Class }
 
 // adjustThrottles tightens or loosens the throttles on a worker by one step.
 func (s *Scheduler) adjustThrottles(a *agent, w *workerInterference, ratio float64) {
@@ -220,7 +220,7 @@
 		s.interference.throttles[attempt] = percent / 2
 		s.recordDecision(Decision{
 			Kind: "throttle", Attempt: attempt, Worker: a.host.Name,
-			Reason: "a service beside it answers slowly", Ratio: ratio,
+			Reason: "a service beside it answers slowly", LatencyRatio: ratio,
 		})
 	}
 	if s.interference.limiter == nil {
@@ -259,7 +259,7 @@
 		if t == nil || t.Evicting() {
 			continue
 		}
-		events = append(events, s.evictIntent(s.placement.Load(attempt.Task.Workload), t, "slows a service beside it"))
+		events = append(events, s.evictIntent(s.placement.Workload(attempt.Task.Workload), t, "slows a service beside it"))
 	}
 	s.interference.pendingEvictions = nil
 	return events
--- a/scheduler/history_actions_test.go
+++ b/scheduler/history_actions_test.go
@@ -136,7 +136,7 @@
 
 func (h *history) version(object func(conf *applier.Config) uint64) uint64 {
 	var v uint64
-	h.schedulers["tartu-s0"].View(func(conf *applier.Config, _ *applier.Placement) { v = object(conf) })
+	h.schedulers["tartu-s0"].ReadStates(func(conf *applier.Config, _ *applier.Placement) { v = object(conf) })
 	return v
 }
 
--- a/scheduler/history_test.go
+++ b/scheduler/history_test.go
@@ -167,7 +167,7 @@
 	h.cluster.start(dataCentre, name, func(c *scheduler.Config) {
 		c.Log, c.Workers, c.Hosts = g, g, g
 		c.SnapshotRecords = 20
-		c.OutageLease = 20 * time.Second
+		c.OutageLeaseDuration = 20 * time.Second
 		if !h.verbose {
 			c.Logger = nil
 		}
@@ -183,7 +183,7 @@
 			if !h.schedulers[name].Ready() {
 				continue // A process shows its state only once it has read the log to its end.
 			}
-			h.schedulers[name].View(func(conf *applier.Config, _ *applier.Placement) {
+			h.schedulers[name].ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 				if conf.Applied() < h.offsets[name] {
 					h.problem("%s went back from configuration %d to %d", name, h.offsets[name], conf.Applied())
 				}
@@ -262,7 +262,7 @@
 
 func (h *history) unfinished() []string {
 	var out []string
-	h.schedulers["voru-s1"].View(func(conf *applier.Config, _ *applier.Placement) {
+	h.schedulers["voru-s1"].ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 		for _, name := range h.jobs {
 			if !h.accepted[name] {
 				continue
@@ -310,7 +310,7 @@
 }
 
 func (h *history) checkJobDone(c *journalChecker, name string) {
-	h.schedulers["tartu-s0"].View(func(conf *applier.Config, _ *applier.Placement) {
+	h.schedulers["tartu-s0"].ReadStates(func(conf *applier.Config, _ *applier.Placement) {
 		w := conf.Job(name)
 		if w == nil {
 			return
--- a/scheduler/linger_test.go
+++ b/scheduler/linger_test.go
@@ -26,7 +26,7 @@
 		cl.hosts.SetLeaving("tartu-w01", true)
 		cl.waitFor(5*time.Second, "an executor is being evicted", func() bool {
 			evicting := false
-			s.View(func(_ *applier.Config, placement *applier.Placement) {
+			s.ReadStates(func(_ *applier.Config, placement *applier.Placement) {
 				for _, id := range placement.WorkerByName("tartu-w01").Tasks() {
 					evicting = evicting || placement.Task(id).Evicting()
 				}
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -50,8 +50,8 @@
 			m.WorkersUnreachable++
 		}
 	}
-	for _, id := range s.placement.Loads() {
-		l := s.placement.Load(id)
+	for _, id := range s.placement.Workloads() {
+		l := s.placement.Workload(id)
 		m.TasksPlaced += l.Placed()
 		m.TasksWaiting += l.Waiting()
 	}
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -14,7 +14,7 @@
 type queue struct {
 	scheduler *Scheduler
 	now       time.Time
-	services  []*applier.Load
+	services  []*applier.AdoptedWorkload
 	teams     []*teamQueue
 }
 
@@ -28,7 +28,7 @@
 
 // jobQueue holds the waiting tasks of one job.
 type jobQueue struct {
-	load         *applier.Load
+	load         *applier.AdoptedWorkload
 	job          *briarspring.Job
 	waiting      []briarspring.TaskState
 	heldMilliCPU int64 // Processors committed to its open attempts.
@@ -39,8 +39,8 @@
 func (s *Scheduler) newQueue(now time.Time) *queue {
 	q := &queue{scheduler: s, now: now}
 	teams := map[string]*teamQueue{}
-	for _, id := range s.placement.Loads() {
-		l := s.placement.Load(id)
+	for _, id := range s.placement.Workloads() {
+		l := s.placement.Workload(id)
 		c := s.conf.Workload(id)
 		if c == nil || c.Cancelled() || c.Finished() {
 			continue
@@ -127,7 +127,7 @@
 	}
 }
 
-func (q *queue) placeExecutors(round *placer.Round, l *applier.Load) int {
+func (q *queue) placeExecutors(round *placer.Round, l *applier.AdoptedWorkload) int {
 	starts := 0
 	c := q.scheduler.conf.Workload(l.ID())
 	for _, state := range l.NextWaiting(maxRoundStarts) {
@@ -207,7 +207,7 @@
 }
 
 // readyTasks returns the waiting tasks of a job that are not in backoff.
-func (q *queue) readyTasks(l *applier.Load) []briarspring.TaskState {
+func (q *queue) readyTasks(l *applier.AdoptedWorkload) []briarspring.TaskState {
 	out := []briarspring.TaskState{}
 	for _, state := range l.NextWaiting(maxRoundStarts) {
 		if !q.scheduler.quarantine.inBackoff(briarspring.TaskID{Workload: l.ID(), Index: state.Index}, q.now) {
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -42,7 +42,7 @@
 // inSync reports whether a workload that needs no events now needs none until
 // the configuration changes.
 func (s *Scheduler) inSync(id briarspring.WorkloadID) bool {
-	l := s.placement.Load(id)
+	l := s.placement.Workload(id)
 	if l == nil {
 		return true
 	}
@@ -52,7 +52,7 @@
 
 // reconcile returns the events for one workload, or none if it matches.
 func (s *Scheduler) reconcile(id briarspring.WorkloadID) []briarspring.Event {
-	l := s.placement.Load(id)
+	l := s.placement.Workload(id)
 	w := s.conf.Workload(id)
 	if l != nil && s.conf.Applied() < l.Offset() {
 		return nil
@@ -70,20 +70,20 @@
 }
 
 // retireEvents cancels the remaining tasks of a finished workload, then removes it.
-func (s *Scheduler) retireEvents(id briarspring.WorkloadID, l *applier.Load) []briarspring.Event {
+func (s *Scheduler) retireEvents(id briarspring.WorkloadID, l *applier.AdoptedWorkload) []briarspring.Event {
 	if l == nil {
 		return nil
 	}
 	if l.Waiting() > 0 || s.hasUncancelled(l) {
 		return []briarspring.Event{briarspring.Cancel{Workload: id, First: 0, End: math.MaxUint32}}
 	}
-	if l.Placed() > 0 || s.summary.unpublished(l) {
+	if l.Placed() > 0 || s.summary.stale(l) {
 		return nil
 	}
 	return []briarspring.Event{briarspring.Forget{Workload: id, Seen: s.conf.Applied()}}
 }
 
-func (s *Scheduler) hasUncancelled(l *applier.Load) bool {
+func (s *Scheduler) hasUncancelled(l *applier.AdoptedWorkload) bool {
 	for _, t := range l.Tasks() {
 		if t.Phase() == applier.PhaseReleased || t.Phase() == applier.PhasePlaced && !t.Cancelled() {
 			return true
@@ -95,7 +95,7 @@
 // adoptEvents returns the event that adopts the earliest share not adopted yet.
 // Shares are adopted in order of offset, since a later adoption voids earlier
 // ones.
-func (s *Scheduler) adoptEvents(w *applier.Workload, l *applier.Load) []briarspring.Event {
+func (s *Scheduler) adoptEvents(w *applier.Workload, l *applier.AdoptedWorkload) []briarspring.Event {
 	var adopted uint64
 	if l != nil {
 		adopted = l.Offset()
@@ -138,15 +138,15 @@
 
 // cancelUnassigned cancels the tasks held here that the configuration does not
 // assign to this data centre.
-func (s *Scheduler) cancelUnassigned(w *applier.Workload, l *applier.Load) []briarspring.Event {
-	holding := w.Holds(s.config.DataCentre)
+func (s *Scheduler) cancelUnassigned(w *applier.Workload, l *applier.AdoptedWorkload) []briarspring.Event {
+	holding := w.AssignedTo(s.config.DataCentre)
 	var unassigned []uint32
 	for _, t := range l.Tasks() {
 		if _, held := holding.Has(t.Index()); !held && !t.Cancelled() && t.Phase() != applier.PhaseFailed {
 			unassigned = append(unassigned, t.Index())
 		}
 	}
-	for _, span := range l.Fresh() {
+	for _, span := range l.UnstartedSpans() {
 		for i := span.First; i < span.End; i++ {
 			if _, held := holding.Has(i); !held {
 				unassigned = append(unassigned, i)
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -55,13 +55,13 @@
 		return briarspring.WorkerGone{Worker: w.Number()}, true
 	}
 	declared := s.conf.LostAt(w.Name())
-	if declared <= w.Declared() {
+	if declared <= w.DeclaredLostAt() {
 		return nil, false
 	}
 	if a.lossSeenAt.IsZero() {
 		a.lossSeenAt = now
 	}
-	if now.Sub(a.lossSeenAt) < s.config.Lease+leaseMargin {
+	if now.Sub(a.lossSeenAt) < s.config.LeaseDuration+leaseMargin {
 		return nil, false
 	}
 	a.lossSeenAt = time.Time{}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -42,21 +42,21 @@
 	Hosts      Hosts
 	Logger     hclog.Logger
 
-	Lease             time.Duration // Length of a worker's lease, counted from its last report.
-	OutageLease       time.Duration // Lease length while the log can't be read.
-	StartWindow       time.Duration // Longest time between a read of the log and a start based on it.
-	ExchangeInterval  time.Duration // Time between two exchanges with a worker.
-	ExchangeTimeout   time.Duration
-	CommitInterval    time.Duration // Minimum time between two batches.
-	IdleBatchInterval time.Duration // Time between two batches of an idle owner, as its heartbeat.
-	OwnerTimeout      time.Duration // Time without a batch after which a follower claims the workers.
-	SummaryInterval   time.Duration
-	HostsInterval     time.Duration
-	SnapshotInterval  time.Duration // Time between two snapshots of a stream.
-	SnapshotRecords   uint64        // Number of records between two snapshots of a stream.
-	ReadWait          time.Duration // How long a read waits for the next record.
-	EvictionsPerMin   int           // Rate limit on evictions for interference, per data centre.
-	Rule              placer.Rule   // Placement rule; empty for the default.
+	LeaseDuration       time.Duration // Length of a worker's lease, counted from its last report.
+	OutageLeaseDuration time.Duration // Lease length while the log can't be read.
+	StartWindow         time.Duration // Longest time between a read of the log and a start based on it.
+	ExchangeInterval    time.Duration // Time between two exchanges with a worker.
+	ExchangeTimeout     time.Duration
+	CommitInterval      time.Duration // Minimum time between two batches.
+	IdleBatchInterval   time.Duration // Time between two batches of an idle owner, as its heartbeat.
+	OwnerTimeout        time.Duration // Time without a batch after which a follower claims the workers.
+	SummaryInterval     time.Duration
+	HostsInterval       time.Duration
+	SnapshotInterval    time.Duration // Time between two snapshots of a stream.
+	SnapshotRecords     uint64        // Number of records between two snapshots of a stream.
+	ReadWait            time.Duration // How long a read waits for the next record.
+	EvictionsPerMin     int           // Rate limit on evictions for interference, per data centre.
+	PlacementRule       placer.Rule   // Placement rule; empty for the default.
 }
 
 // WithDefaults returns the settings with defaults for those that are not set.
@@ -66,8 +66,8 @@
 			*d = value
 		}
 	}
-	set(&c.Lease, 15*time.Second)
-	set(&c.OutageLease, 10*time.Minute)
+	set(&c.LeaseDuration, 15*time.Second)
+	set(&c.OutageLeaseDuration, 10*time.Minute)
 	set(&c.StartWindow, 2*time.Second)
 	set(&c.ExchangeInterval, time.Second)
 	set(&c.ExchangeTimeout, 2*time.Second)
@@ -118,7 +118,7 @@
 	snapshots          map[string]*snapshotTimer
 	quarantine         quarantine
 	waiting            waitingReasons
-	summary            summaryState
+	summary            sentState
 	hostsFailing       bool
 	stopping           bool
 	restored           bool                          // Restore has taken both states from a peer.
@@ -156,7 +156,7 @@
 	}
 	s.learner = learner.New(learner.Config{})
 	s.placer = placer.New(placer.Config{
-		Rule: c.Rule, Noise: s.learner, MaxSlowdown: maxPredictedSlowdown, MaxEvictions: maxUrgentEvictions, Rejected: rejectedShown,
+		Rule: c.PlacementRule, Interference: s.learner, MaxSlowdown: maxPredictedSlowdown, MaxEvictions: maxUrgentEvictions, MaxRejected: rejectedShown,
 	})
 	s.decisions.init()
 	s.reconciler.init()
--- a/scheduler/spread.go
+++ b/scheduler/spread.go
@@ -18,8 +18,8 @@
 // first; moveReleaseEvents releases its task once that waits again.
 func (s *Scheduler) spreadEvents() []briarspring.Event {
 	var events []briarspring.Event
-	for _, id := range s.placement.Loads() {
-		l := s.placement.Load(id)
+	for _, id := range s.placement.Workloads() {
+		l := s.placement.Workload(id)
 		w := s.conf.Workload(id)
 		if w == nil || w.Service() == nil || l.Waiting() > 0 || l.Released() > 0 || s.hasPendingMove(id) {
 			continue
@@ -61,7 +61,7 @@
 }
 
 // lastPlaced returns the running executor with the highest index.
-func lastPlaced(l *applier.Load) *applier.Task {
+func lastPlaced(l *applier.AdoptedWorkload) *applier.Task {
 	for _, t := range slices.Backward(l.Tasks()) {
 		if t.Phase() == applier.PhasePlaced && !t.Evicting() && !t.Cancelled() {
 			return t
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -14,8 +14,8 @@
 	maxSummaryProgress = 2000
 )
 
-// summaryState holds what the owner has published to the other data centres.
-type summaryState struct {
+// sentState holds what the owner has published to the other data centres.
+type sentState struct {
 	sentAt        time.Time
 	sent          briarspring.Summary
 	progress      map[briarspring.WorkloadID]briarspring.Progress
@@ -23,14 +23,14 @@
 	lastRebalance time.Time
 }
 
-func (m *summaryState) init() {
+func (m *sentState) init() {
 	m.sentAt = time.Time{}
 	m.progress = map[briarspring.WorkloadID]briarspring.Progress{}
 	m.transferSent = map[briarspring.WorkloadID]time.Time{}
 }
 
-// unpublished reports whether a workload has progress to publish.
-func (m *summaryState) unpublished(l *applier.Load) bool { return m.progress[l.ID()] != l.Progress() }
+// stale reports whether a workload's published progress is out of date.
+func (m *sentState) stale(l *applier.AdoptedWorkload) bool { return m.progress[l.ID()] != l.Progress() }
 
 // publishSummary appends a summary of this data centre for the others, if it has
 // changed or is due again.
@@ -70,9 +70,9 @@
 
 func (s *Scheduler) changedProgress() []briarspring.Progress {
 	var out []briarspring.Progress
-	for _, id := range s.placement.Loads() {
-		l := s.placement.Load(id)
-		if s.summary.unpublished(l) {
+	for _, id := range s.placement.Workloads() {
+		l := s.placement.Workload(id)
+		if s.summary.stale(l) {
 			out = append(out, l.Progress())
 		}
 		if len(out) == maxSummaryProgress {
--- a/scheduler/transfer.go
+++ b/scheduler/transfer.go
@@ -26,7 +26,7 @@
 	}
 	var events []briarspring.Event
 	for i, id := range s.loadsByWeight() {
-		l := s.placement.Load(id)
+		l := s.placement.Workload(id)
 		if len(events) >= maxBatchEvents {
 			break
 		}
@@ -63,7 +63,7 @@
 // loadsByWeight returns the workloads held here, services first, then jobs by
 // descending weight.
 func (s *Scheduler) loadsByWeight() []briarspring.WorkloadID {
-	ids := s.placement.Loads()
+	ids := s.placement.Workloads()
 	slices.SortStableFunc(ids, func(a, b briarspring.WorkloadID) int {
 		return int(s.weight(b)) - int(s.weight(a))
 	})
@@ -82,7 +82,7 @@
 	return w.Job().Weight()
 }
 
-func (s *Scheduler) evictAllEvents(l *applier.Load) []briarspring.Event {
+func (s *Scheduler) evictAllEvents(l *applier.AdoptedWorkload) []briarspring.Event {
 	var events []briarspring.Event
 	for _, t := range l.Tasks() {
 		if t.Phase() == applier.PhasePlaced && !t.Evicting() && !t.Cancelled() {
@@ -92,7 +92,7 @@
 	return events
 }
 
-func (s *Scheduler) evictIntent(l *applier.Load, t *applier.Task, reason string) briarspring.Event {
+func (s *Scheduler) evictIntent(l *applier.AdoptedWorkload, t *applier.Task, reason string) briarspring.Event {
 	attempt := briarspring.AttemptID{Task: briarspring.TaskID{Workload: l.ID(), Index: t.Index()}, Attempt: t.Attempt()}
 	s.recordDecision(Decision{
 		Kind: "evict", Attempt: attempt, Worker: s.workerName(t.Worker()), Reason: reason,
@@ -101,11 +101,11 @@
 }
 
 // releaseEvent releases waiting tasks of a workload, if there are any.
-func (s *Scheduler) releaseEvent(l *applier.Load, to string) (briarspring.Event, bool) {
+func (s *Scheduler) releaseEvent(l *applier.AdoptedWorkload, to string) (briarspring.Event, bool) {
 	return releaseUpTo(l, to, maxReleaseTasks)
 }
 
-func releaseUpTo(l *applier.Load, to string, n int) (briarspring.Event, bool) {
+func releaseUpTo(l *applier.AdoptedWorkload, to string, n int) (briarspring.Event, bool) {
 	waiting := l.NextWaiting(n)
 	if len(waiting) == 0 {
 		return nil, false
@@ -132,7 +132,7 @@
 	}
 	events := s.spreadEvents()
 	for _, id := range s.loadsByWeight() {
-		l := s.placement.Load(id)
+		l := s.placement.Workload(id)
 		if l.Waiting() == 0 || s.hasPendingMove(id) || !s.waiting.blockedWithin(id, now, 2*s.config.SummaryInterval) {
 			continue
 		}
@@ -169,8 +169,8 @@
 // streams' state, so that a new owner completes what the last one began.
 func (s *Scheduler) sendTransfers() {
 	now := time.Now()
-	for _, id := range s.placement.Loads() {
-		l := s.placement.Load(id)
+	for _, id := range s.placement.Workloads() {
+		l := s.placement.Workload(id)
 		w := s.conf.Workload(id)
 		if w == nil || now.Sub(s.summary.transferSent[id]) < transferRetryInterval {
 			continue
@@ -187,12 +187,12 @@
 
 // releasedTasks returns the released tasks that the configuration still assigns
 // to this data centre, by receiving data centre.
-func (s *Scheduler) releasedTasks(w *applier.Workload, l *applier.Load) map[string][]briarspring.TaskState {
+func (s *Scheduler) releasedTasks(w *applier.Workload, l *applier.AdoptedWorkload) map[string][]briarspring.TaskState {
 	out := map[string][]briarspring.TaskState{}
 	if l.Released() == 0 {
 		return out
 	}
-	holding := w.Holds(s.config.DataCentre)
+	holding := w.AssignedTo(s.config.DataCentre)
 	for _, t := range l.Tasks() {
 		if t.Phase() != applier.PhaseReleased {
 			continue
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -34,10 +34,11 @@
 }
 
 // Workers sends requests to workers. A *briarspring.OrderRefusedError is the
-// worker's answer; after any other error the outcome is unknown. A Hold that
-// acknowledges ended runs must fail if it would open a new connection.
+// worker's answer; after any other error the outcome is unknown. A lease
+// renewal that acknowledges ended runs must fail if it would open a new
+// connection.
 type Workers interface {
-	Hold(ctx context.Context, address, id string, h briarspring.HoldRequest) (briarspring.HoldReply, error)
+	RenewLease(ctx context.Context, address, id string, h briarspring.LeaseRequest) (briarspring.LeaseReply, error)
 	Start(ctx context.Context, address, id string, o briarspring.StartOrder) error
 	Stop(ctx context.Context, address, id string, o briarspring.StopOrder) error
 	Pace(ctx context.Context, address, id string, o briarspring.PaceOrder) error
@@ -50,23 +51,23 @@
 
 // Catalogue knows which data centres are out of service.
 type Catalogue interface {
-	Out(dataCentre string) bool
+	OutOfService(dataCentre string) bool
 }
 
 // Freshness describes how current a followed stream is.
 type Freshness interface {
-	// Fresh returns when the last successful read was sent.
-	Fresh() (time.Duration, bool)
-	// Delay returns how long the store takes to answer.
-	Delay() time.Duration
+	// LastReadSent returns when the last successful read was sent.
+	LastReadSent() (time.Duration, bool)
+	// StoreLatency returns how long the store takes to answer.
+	StoreLatency() time.Duration
 }
 
 // Pacer limits the speed of best-effort runs, and exchanges the interference
 // models that it learns.
 type Pacer interface {
 	dispatcher.Pacer
-	Model() []briarspring.PressModel
-	Adopt(models []briarspring.PressModel)
+	Models() []briarspring.InterferenceModel
+	AdoptModels(models []briarspring.InterferenceModel)
 }
 
 // Config holds the settings of an Owner.
@@ -79,7 +80,7 @@
 	MilliCPU       int // Processors of the host, in thousandths of a core.
 	Lease          time.Duration
 	MaxLease       time.Duration // Longest lease that a worker grants.
-	KeepFinal      time.Duration // How long finished workflows are remembered.
+	FinalRetention time.Duration // How long finished workflows are remembered.
 
 	Store            Store
 	Shared           Writer
@@ -161,7 +162,7 @@
 		case <-ctx.Done():
 			return
 		case <-sub.Changed():
-			sub.Take()
+			sub.Drain()
 		case <-tick.C:
 		}
 		if o.isStopping() {
@@ -189,7 +190,7 @@
 	now := o.config.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	fresh, ok := o.config.ReplicaFreshness.Fresh()
+	fresh, ok := o.config.ReplicaFreshness.LastReadSent()
 	if !ok || now-fresh > readGapAge || fresh-o.lastRead > readGapAge {
 		o.readSince = now
 	}
@@ -205,15 +206,15 @@
 
 // runOwnership owns the data centre while the claim is in force.
 func (o *Owner) runOwnership(ctx context.Context, claim registrar.Claim) {
-	own := newOwnership(o, claim)
+	ow := newOwnership(o, claim)
 	o.mu.Lock()
-	o.ownership = own
+	o.ownership = ow
 	o.mu.Unlock()
-	own.run(ctx)
+	ow.run(ctx)
 	o.mu.Lock()
 	o.ownership = nil
 	o.mu.Unlock()
-	retirement, err := own.retirement()
+	retirement, err := ow.retirement()
 	if err != nil {
 		o.logger.Error("retirement can't be encoded", "error", err)
 		return
@@ -240,17 +241,17 @@
 
 // claimIfDue claims the data centre if the claim rules ask for it.
 func (o *Owner) claimIfDue(ctx context.Context) {
-	situation := o.claimSituation()
-	claim, why := claimer.ShouldClaim(situation)
+	state := o.claimState()
+	claim, why := claimer.ShouldClaim(state)
 	if !claim {
 		return
 	}
 	o.mu.Lock()
-	o.lastAttempt = situation.Now
+	o.lastAttempt = state.Now
 	o.mu.Unlock()
-	o.logger.Info("claiming the data centre", "why", why, "owner", situation.Owner, "token", situation.Token,
-		"silent-ms", (situation.LastRead - max(situation.LastBeat, situation.ClaimedAt)).Milliseconds(), "read-age-ms", (situation.Now - situation.LastRead).Milliseconds())
-	o.writeClaim(ctx, o.config.Host, situation.Token)
+	o.logger.Info("claiming the data centre", "why", why, "owner", state.Owner, "token", state.Token,
+		"silent-ms", (state.LastRead - max(state.LastHeartbeat, state.ClaimedAt)).Milliseconds(), "read-age-ms", (state.Now - state.LastRead).Milliseconds())
+	o.writeClaim(ctx, o.config.Host, state.Token)
 }
 
 // writeClaim appends a claim to the shared stream, with more records before it.
@@ -259,47 +260,47 @@
 	c := briarspring.DataCentreClaim{
 		DataCentre: o.config.DataCentre, Previous: previous, Owner: owner, Incarnation: o.config.Incarnation,
 	}
-	value, err := encoder.DataCentreClaim(c)
+	value, err := encoder.EncodeDataCentreClaim(c)
 	if err != nil {
 		o.logger.Error("claim can't be encoded", "error", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	err = o.config.Shared.Write(ctx, append(more, briarspring.KeyedRecord{Key: registrar.ClaimKey(o.config.DataCentre, registrar.NewTry()), Value: value})...)
+	err = o.config.Shared.Write(ctx, append(more, briarspring.KeyedRecord{Key: registrar.ClaimKey(o.config.DataCentre, registrar.NewAttemptID()), Value: value})...)
 	if err != nil {
 		o.logger.Warn("claim was not confirmed", "owner", owner, "previous", previous, "error", err)
 	}
 }
 
-// claimSituation gathers the inputs of the decision to claim.
-func (o *Owner) claimSituation() claimer.Situation {
-	situation := claimer.Situation{
+// claimState gathers the inputs of the decision to claim.
+func (o *Owner) claimState() claimer.State {
+	state := claimer.State{
 		Host: o.config.Host, Local: o.config.HostDataCentre == o.config.DataCentre,
 	}
 	o.config.Replica.View(func(r *registrar.Registry) {
 		claim := r.Claim(o.config.DataCentre)
 		least, most := r.HostSizes()
-		situation.Owner, situation.Token = claim.Owner, claim.Token
-		situation.LastBeat = r.Beat(o.config.DataCentre).At
+		state.Owner, state.Token = claim.Owner, claim.Token
+		state.LastHeartbeat = r.Heartbeat(o.config.DataCentre).At
 		if p, ok := r.Host(claim.Owner); ok {
-			situation.OwnerLocal = p.DataCentre == o.config.DataCentre
-			situation.OwnerWeak = p.MilliCPU*largerHostRatio < most
-			situation.Restarted = p.Incarnation > claim.Incarnation
+			state.OwnerLocal = p.DataCentre == o.config.DataCentre
+			state.OwnerSmall = p.MilliCPU*largerHostRatio < most
+			state.Restarted = p.Incarnation > claim.Incarnation
 		}
-		situation.Weak = o.config.MilliCPU*largerHostRatio < most
-		situation.Mixed = least*largerHostRatio < most
+		state.Small = o.config.MilliCPU*largerHostRatio < most
+		state.SizesDiffer = least*largerHostRatio < most
 		if claim.Owner == o.config.Host && claim.Incarnation == o.config.Incarnation {
 			// This process's ownership has ended, so the data centre has no owner.
-			situation.Restarted = true
+			state.Restarted = true
 		}
 	})
-	situation.Now = o.config.Now()
-	situation.StoreDelay = o.config.ReplicaFreshness.Delay()
+	state.Now = o.config.Now()
+	state.StoreDelay = o.config.ReplicaFreshness.StoreLatency()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	situation.LastRead, situation.ReadSince, situation.ClaimedAt, situation.LastAttempt = o.lastRead, o.readSince, o.claimedAt, o.lastAttempt
-	return situation
+	state.LastRead, state.ReadSince, state.ClaimedAt, state.LastAttempt = o.lastRead, o.readSince, o.claimedAt, o.lastAttempt
+	return state
 }
 
 // Owns reports whether this process owns the data centre.
@@ -327,17 +328,17 @@
 // is not the owner or has not finished the takeover.
 func (o *Owner) inspect(f func(*dispatcher.Dispatcher)) bool {
 	o.mu.Lock()
-	own := o.ownership
+	ow := o.ownership
 	o.mu.Unlock()
-	if own == nil {
+	if ow == nil {
 		return false
 	}
-	own.mu.Lock()
-	defer own.mu.Unlock()
-	if own.engine == nil {
+	ow.mu.Lock()
+	defer ow.mu.Unlock()
+	if ow.engine == nil {
 		return false
 	}
-	f(own.engine)
+	f(ow.engine)
 	return true
 }
 
@@ -346,24 +347,24 @@
 func (o *Owner) Stop(giveUp <-chan struct{}) {
 	o.mu.Lock()
 	o.stopping = true
-	own := o.ownership
+	ow := o.ownership
 	o.mu.Unlock()
-	if own == nil {
+	if ow == nil {
 		return
 	}
-	own.stop()
+	ow.stop()
 	select {
-	case <-own.ended:
+	case <-ow.ended:
 	case <-giveUp:
 		return
 	}
-	ctx, cancel := launcher.GiveUpContext(giveUp)
+	ctx, cancel := launcher.ContextUntil(giveUp)
 	defer cancel()
-	retirement, err := own.retirement()
+	retirement, err := ow.retirement()
 	if err != nil {
 		o.logger.Error("retirement can't be encoded", "error", err)
 		return
 	}
-	o.writeClaim(ctx, "", own.claim.Token, retirement)
-	o.logger.Info("released the data centre", "token", own.claim.Token)
+	o.writeClaim(ctx, "", ow.claim.Token, retirement)
+	o.logger.Info("released the data centre", "token", ow.claim.Token)
 }
--- a/steward/term.go
+++ b/steward/term.go
@@ -89,85 +89,85 @@
 }
 
 // stop makes run return soon.
-func (own *ownership) stop() { own.once.Do(func() { close(own.halt) }) }
+func (ow *ownership) stop() { ow.once.Do(func() { close(ow.halt) }) }
 
 // run owns the data centre until the claim is replaced, the log has been
 // unreachable for too long, or the context ends.
-func (own *ownership) run(ctx context.Context) {
-	defer close(own.ended)
+func (ow *ownership) run(ctx context.Context) {
+	defer close(ow.ended)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-own.halt:
+		case <-ow.halt:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	own.config.OnOwnership(true)
-	defer own.config.OnOwnership(false)
-	own.logger.Info("ownership started", "previous-token", own.claim.Previous)
-	progress, ok := own.takeOver(ctx)
+	ow.config.OnOwnership(true)
+	defer ow.config.OnOwnership(false)
+	ow.logger.Info("ownership started", "previous-token", ow.claim.Previous)
+	progress, ok := ow.takeOver(ctx)
 	if !ok {
 		return
 	}
-	own.startDispatcher(progress)
-	own.logger.Info("took over progress", "workflows", len(progress), "took-ms", (own.config.Now() - own.started).Milliseconds())
+	ow.startDispatcher(progress)
+	ow.logger.Info("took over progress", "workflows", len(progress), "took-ms", (ow.config.Now() - ow.started).Milliseconds())
 	var goroutines sync.WaitGroup
-	goroutines.Go(func() { own.commitLoop(ctx) })
-	goroutines.Go(func() { own.publishLoop(ctx) })
-	own.planLoop(ctx, &goroutines)
+	goroutines.Go(func() { ow.commitLoop(ctx) })
+	goroutines.Go(func() { ow.publishLoop(ctx) })
+	ow.planLoop(ctx, &goroutines)
 	cancel()
 	goroutines.Wait()
-	own.logger.Info("ownership ended", "served-ms", (own.config.Now() - own.started).Milliseconds())
+	ow.logger.Info("ownership ended", "served-ms", (ow.config.Now() - ow.started).Milliseconds())
 }
 
 // retirement returns the record stating that this ownership sends no more orders.
-func (own *ownership) retirement() (briarspring.KeyedRecord, error) {
-	m := briarspring.Retirement{Token: own.claim.Token}
-	own.mu.Lock()
-	if own.engine != nil {
-		m.Silent = own.engine.Silent(own.config.Now())
-	}
-	own.mu.Unlock()
-	value, err := encoder.Retirement(m)
-	return briarspring.KeyedRecord{Key: registrar.RetireKey(own.config.DataCentre, own.claim.Token), Value: value}, err
+func (ow *ownership) retirement() (briarspring.KeyedRecord, error) {
+	m := briarspring.Retirement{Token: ow.claim.Token}
+	ow.mu.Lock()
+	if ow.engine != nil {
+		m.Silent = ow.engine.Silent(ow.config.Now())
+	}
+	ow.mu.Unlock()
+	value, err := encoder.EncodeRetirement(m)
+	return briarspring.KeyedRecord{Key: registrar.RetireKey(ow.config.DataCentre, ow.claim.Token), Value: value}, err
 }
 
 // inForce reports whether the claim is the last one that was read from the log.
-func (own *ownership) inForce() bool {
+func (ow *ownership) inForce() bool {
 	var now registrar.Claim
-	own.config.Replica.View(func(r *registrar.Registry) { now = r.Claim(own.config.DataCentre) })
-	return now.Token == own.claim.Token
+	ow.config.Replica.View(func(r *registrar.Registry) { now = r.Claim(ow.config.DataCentre) })
+	return now.Token == ow.claim.Token
 }
 
 // takeOver fences earlier owners off the progress stream and reads it.
-func (own *ownership) takeOver(ctx context.Context) (map[briarspring.WorkflowID][]briarspring.TaskProgress, bool) {
-	stream := briarspring.ProgressStream(own.config.DataCentre)
-	for ctx.Err() == nil && own.inForce() {
-		progress, err := own.tryTakeOver(ctx, stream)
+func (ow *ownership) takeOver(ctx context.Context) (map[briarspring.WorkflowID][]briarspring.TaskProgress, bool) {
+	stream := briarspring.ProgressStream(ow.config.DataCentre)
+	for ctx.Err() == nil && ow.inForce() {
+		progress, err := ow.tryTakeOver(ctx, stream)
 		if err == nil {
 			return progress, true
 		}
 		var fenced *briarspring.FencedError
 		if errors.As(err, &fenced) {
-			own.logger.Warn("a newer owner has taken over the progress stream", "error", err)
+			ow.logger.Warn("a newer owner has taken over the progress stream", "error", err)
 			return nil, false
 		}
-		own.logger.Warn("failed to take over progress, retrying", "error", err)
+		ow.logger.Warn("failed to take over progress, retrying", "error", err)
 		_ = sleeper.For(ctx, retryPause)
 	}
 	return nil, false
 }
 
-func (own *ownership) tryTakeOver(ctx context.Context, stream string) (map[briarspring.WorkflowID][]briarspring.TaskProgress, error) {
+func (ow *ownership) tryTakeOver(ctx context.Context, stream string) (map[briarspring.WorkflowID][]briarspring.TaskProgress, error) {
 	callCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	fencedAt, err := own.config.Store.Append(callCtx, stream, nil, own.fence(0))
+	fencedAt, err := ow.config.Store.Append(callCtx, stream, nil, ow.fence(0))
 	if err != nil {
 		return nil, err
 	}
-	records, end, err := tracker.Newest(ctx, own.config.Store, stream)
+	records, end, err := tracker.Newest(ctx, ow.config.Store, stream)
 	if err != nil {
 		return nil, err
 	}
@@ -181,7 +181,7 @@
 		}
 		tasks, err := encoder.DecodeRunProgress(r.Value)
 		if err != nil {
-			own.logger.Error("ignoring a progress record that can't be decoded", "key", r.Key, "offset", r.Offset, "error", err)
+			ow.logger.Error("ignoring a progress record that can't be decoded", "key", r.Key, "offset", r.Offset, "error", err)
 			continue
 		}
 		progress[briarspring.WorkflowID(r.Key)] = tasks
@@ -189,27 +189,27 @@
 	return progress, nil
 }
 
-func (own *ownership) fence(sequence uint64) briarspring.Fence {
-	return briarspring.Fence{Epoch: own.claim.Token, Sequence: sequence}
+func (ow *ownership) fence(sequence uint64) briarspring.Fence {
+	return briarspring.Fence{Epoch: ow.claim.Token, Sequence: sequence}
 }
 
 // startDispatcher creates the dispatcher with every workflow that has tasks here.
-func (own *ownership) startDispatcher(progress map[briarspring.WorkflowID][]briarspring.TaskProgress) {
-	own.mu.Lock()
-	defer own.mu.Unlock()
-	now := own.config.Now()
-	own.pacer = own.config.NewPacer()
-	own.config.Replica.View(func(r *registrar.Registry) { own.pacer.Adopt(r.Models()) })
-	own.engine = dispatcher.New(now, dispatcher.Config{
-		DataCentre: own.config.DataCentre, Token: own.claim.Token, Lease: own.config.Lease, MaxLease: own.config.MaxLease,
-		Predecessor: own.claim.Previous != 0, Pacer: own.pacer, Logger: own.logger,
+func (ow *ownership) startDispatcher(progress map[briarspring.WorkflowID][]briarspring.TaskProgress) {
+	ow.mu.Lock()
+	defer ow.mu.Unlock()
+	now := ow.config.Now()
+	ow.pacer = ow.config.NewPacer()
+	ow.config.Replica.View(func(r *registrar.Registry) { ow.pacer.AdoptModels(r.InterferenceModels()) })
+	ow.engine = dispatcher.New(now, dispatcher.Config{
+		DataCentre: ow.config.DataCentre, Token: ow.claim.Token, Lease: ow.config.Lease, MaxLease: ow.config.MaxLease,
+		Predecessor: ow.claim.Previous != 0, Pacer: ow.pacer, Logger: ow.logger,
 	})
-	own.engine.SetOut(now, own.config.Catalogue.Out(own.config.DataCentre))
-	if own.claim.Previous != 0 {
-		own.engine.HoldStarts(own.owner.readableSince() + entryReturnTime)
+	ow.engine.SetOutOfService(now, ow.config.Catalogue.OutOfService(ow.config.DataCentre))
+	if ow.claim.Previous != 0 {
+		ow.engine.DelayInheritedStarts(ow.owner.readableSince() + entryReturnTime)
 	}
-	own.config.Replica.View(func(r *registrar.Registry) {
-		r.Workflows(func(e *registrar.Entry) { own.applyWorkflow(now, e, progress[e.Workflow().ID]) })
+	ow.config.Replica.View(func(r *registrar.Registry) {
+		r.Workflows(func(e *registrar.Entry) { ow.applyWorkflow(now, e, progress[e.Workflow().ID]) })
 	})
 }
 
@@ -221,34 +221,34 @@
 }
 
 // applyWorkflow passes the shared state of a workflow to the dispatcher.
-func (own *ownership) applyWorkflow(now time.Duration, e *registrar.Entry, progress []briarspring.TaskProgress) {
+func (ow *ownership) applyWorkflow(now time.Duration, e *registrar.Entry, progress []briarspring.TaskProgress) {
 	w := e.Workflow()
-	if !own.hasTasksHere(e) {
+	if !ow.hasTasksHere(e) {
 		return
 	}
-	place := own.placeOf(e)
+	place := ow.placeOf(e)
 	switch {
-	case own.engine.Knows(w.ID):
+	case ow.engine.Knows(w.ID):
 		if place != nil {
-			own.engine.Moved(now, w.ID, place)
+			ow.engine.ApplyTransfers(now, w.ID, place)
 		}
 	case e.Phase().Final() && len(progress) == 0:
 		return
 	default:
-		own.engine.Submit(now, own.ageOf(w), w, e.Offset(), own.mergeTransferred(e, progress), place)
+		ow.engine.Submit(now, ow.ageOf(w), w, e.Offset(), ow.mergeTransferred(e, progress), place)
 	}
 	if e.Cancelled() {
-		own.engine.Cancel(now, w.ID)
+		ow.engine.Cancel(now, w.ID)
 	}
 	if e.Phase().Final() && !e.Cancelled() {
-		own.engine.Finished(now, w.ID, e.Phase())
+		ow.engine.Finished(now, w.ID, e.Phase())
 	}
 }
 
 // ageOf returns the time since a workflow was accepted, clamped to the time for
 // which workflows of its recurrence are remembered, since clocks may jump.
-func (own *ownership) ageOf(w *briarspring.Workflow) time.Duration {
-	maxAge := own.config.KeepFinal
+func (ow *ownership) ageOf(w *briarspring.Workflow) time.Duration {
+	maxAge := ow.config.FinalRetention
 	if n := w.Recurrence.Times; n > 0 {
 		maxAge += max(0, w.Recurrence.Due(n-1).Sub(w.Submitted))
 	}
@@ -257,24 +257,24 @@
 
 // placeOf returns the place of each task of a workflow by its position, or nil if
 // none was transferred.
-func (own *ownership) placeOf(e *registrar.Entry) func(position int) dispatcher.Place {
-	moved := e.Moved()
+func (ow *ownership) placeOf(e *registrar.Entry) func(position int) dispatcher.Place {
+	moved := e.TransferredTasks()
 	if len(moved) == 0 {
 		return nil
 	}
 	return func(position int) dispatcher.Place {
 		m := moved[position]
-		return dispatcher.Place{Mine: e.DataCentre(position) == own.config.DataCentre, Moves: m.Count, Brought: m.Progress}
+		return dispatcher.Place{Local: e.DataCentre(position) == ow.config.DataCentre, Transfers: m.Count, Progress: m.Progress}
 	}
 }
 
 // hasTasksHere reports whether the data centre has, or had, tasks of a workflow.
-func (own *ownership) hasTasksHere(e *registrar.Entry) bool {
-	if e.Workflow().DataCentre == own.config.DataCentre {
+func (ow *ownership) hasTasksHere(e *registrar.Entry) bool {
+	if e.Workflow().DataCentre == ow.config.DataCentre {
 		return true
 	}
-	for _, m := range e.Moved() {
-		if m.To == own.config.DataCentre {
+	for _, m := range e.TransferredTasks() {
+		if m.To == ow.config.DataCentre {
 			return true
 		}
 	}
@@ -284,13 +284,13 @@
 // mergeTransferred adds the progress that transferred tasks brought along. A task
 // may have run here before it left, or after it came back, so the record with the
 // higher run number wins.
-func (own *ownership) mergeTransferred(e *registrar.Entry, progress []briarspring.TaskProgress) []briarspring.TaskProgress {
+func (ow *ownership) mergeTransferred(e *registrar.Entry, progress []briarspring.TaskProgress) []briarspring.TaskProgress {
 	known := map[int]int{}
 	for i, p := range progress {
 		known[p.Position] = i
 	}
-	for position, m := range e.Moved() {
-		if m.To != own.config.DataCentre {
+	for position, m := range e.TransferredTasks() {
+		if m.To != ow.config.DataCentre {
 			continue
 		}
 		i, ok := known[position]
@@ -305,8 +305,8 @@
 }
 
 // planLoop plans after every change and at intervals, until the ownership ends.
-func (own *ownership) planLoop(ctx context.Context, goroutines *sync.WaitGroup) {
-	sub := own.config.Replica.Subscribe()
+func (ow *ownership) planLoop(ctx context.Context, goroutines *sync.WaitGroup) {
+	sub := ow.config.Replica.Subscribe()
 	defer sub.Close()
 	timer := time.NewTicker(dispatcher.PlanInterval())
 	defer timer.Stop()
@@ -316,142 +316,142 @@
 		case <-ctx.Done():
 			return
 		case <-sub.Changed():
-		case <-own.wake:
+		case <-ow.wake:
 		case <-timer.C:
-			own.mu.Lock()
-			own.engine.Tick()
-			own.mu.Unlock()
+			ow.mu.Lock()
+			ow.engine.ForcePlan()
+			ow.mu.Unlock()
 		}
-		now := own.config.Now()
-		if own.shouldEnd(now) {
+		now := ow.config.Now()
+		if ow.shouldEnd(now) {
 			return
 		}
-		own.applyChanges(now, sub)
+		ow.applyChanges(now, sub)
 		if now-listedAt >= listInterval {
 			listedAt = now
-			own.applyWorkerList(ctx, now, goroutines)
+			ow.applyWorkerList(ctx, now, goroutines)
 		}
-		own.planAndSend(ctx, now, goroutines)
+		ow.planAndSend(ctx, now, goroutines)
 		_ = sleeper.For(ctx, minPlanInterval)
 	}
 }
 
 // shouldEnd reports whether the ownership has to end.
-func (own *ownership) shouldEnd(now time.Duration) bool {
-	if !own.inForce() {
-		own.logger.Info("claim was replaced")
+func (ow *ownership) shouldEnd(now time.Duration) bool {
+	if !ow.inForce() {
+		ow.logger.Info("claim was replaced")
 		return true
 	}
-	own.mu.Lock()
-	superseded := own.engine.Superseded()
-	own.mu.Unlock()
+	ow.mu.Lock()
+	superseded := ow.engine.Superseded()
+	ow.mu.Unlock()
 	if superseded {
-		own.logger.Warn("workers accepted a newer token")
+		ow.logger.Warn("workers accepted a newer token")
 		return true
 	}
-	fresh, ok := own.config.ReplicaFreshness.Fresh()
+	fresh, ok := ow.config.ReplicaFreshness.LastReadSent()
 	if !ok || now-fresh > maxUnreachable {
-		own.logger.Warn("the log was unreachable for too long", "age-ms", (now - fresh).Milliseconds())
+		ow.logger.Warn("the log was unreachable for too long", "age-ms", (now - fresh).Milliseconds())
 		return true
 	}
 	return false
 }
 
 // applyChanges passes changes read from the shared stream to the dispatcher.
-func (own *ownership) applyChanges(now time.Duration, sub subscription) {
-	changes, all := sub.Take()
-	out := own.config.Catalogue.Out(own.config.DataCentre)
-	own.mu.Lock()
-	defer own.mu.Unlock()
-	own.engine.SetOut(now, out)
-	own.config.Replica.View(func(r *registrar.Registry) {
-		if at, ok := r.EarlierGone(now, maxUnreachable, own.config.DataCentre); ok {
-			own.engine.EarlierGone(at)
+func (ow *ownership) applyChanges(now time.Duration, sub subscription) {
+	changes, all := sub.Drain()
+	out := ow.config.Catalogue.OutOfService(ow.config.DataCentre)
+	ow.mu.Lock()
+	defer ow.mu.Unlock()
+	ow.engine.SetOutOfService(now, out)
+	ow.config.Replica.View(func(r *registrar.Registry) {
+		if at, ok := r.PredecessorsGoneAt(now, maxUnreachable, ow.config.DataCentre); ok {
+			ow.engine.SetPredecessorsGone(at)
 		}
-		own.engine.EarlierSilent(maps.Clone(r.Silent(own.config.DataCentre)))
+		ow.engine.SetSilentLeaseEnds(maps.Clone(r.SilentWorkers(ow.config.DataCentre)))
 		if all {
-			r.Workflows(func(e *registrar.Entry) { own.applyWorkflow(now, e, nil) })
+			r.Workflows(func(e *registrar.Entry) { ow.applyWorkflow(now, e, nil) })
 			return
 		}
 		for _, c := range changes {
 			if e := r.Workflow(c.Workflow); e != nil {
-				own.applyWorkflow(now, e, nil)
+				ow.applyWorkflow(now, e, nil)
 			}
 		}
 	})
 }
 
 type subscription interface {
-	Take() ([]registrar.Change, bool)
+	Drain() ([]registrar.Change, bool)
 }
 
 // applyWorkerList passes the list of workers to the dispatcher and runs a lease
 // renewer for each of them.
-func (own *ownership) applyWorkerList(ctx context.Context, now time.Duration, goroutines *sync.WaitGroup) {
-	entries, known := own.config.List.Workers(own.config.DataCentre)
-	fresh, _ := own.config.ListFreshness.Fresh()
-	if !known || fresh <= own.started {
+func (ow *ownership) applyWorkerList(ctx context.Context, now time.Duration, goroutines *sync.WaitGroup) {
+	entries, known := ow.config.List.Workers(ow.config.DataCentre)
+	fresh, _ := ow.config.ListFreshness.LastReadSent()
+	if !known || fresh <= ow.started {
 		return
 	}
-	own.mu.Lock()
-	defer own.mu.Unlock()
-	own.engine.SetWorkers(now, entries)
-	wanted := own.engine.Workers()
+	ow.mu.Lock()
+	defer ow.mu.Unlock()
+	ow.engine.SetWorkers(now, entries)
+	wanted := ow.engine.Workers()
 	for id, address := range wanted {
-		if r := own.renewers[id]; r != nil && r.address == address {
+		if r := ow.renewers[id]; r != nil && r.address == address {
 			continue
 		}
-		own.startRenewer(ctx, id, address, goroutines)
+		ow.startRenewer(ctx, id, address, goroutines)
 	}
-	for id, r := range own.renewers {
+	for id, r := range ow.renewers {
 		if _, ok := wanted[id]; !ok {
 			r.cancel()
-			delete(own.renewers, id)
+			delete(ow.renewers, id)
 		}
 	}
 }
 
 // planAndSend runs a planning pass and sends its orders.
-func (own *ownership) planAndSend(ctx context.Context, now time.Duration, goroutines *sync.WaitGroup) {
-	own.mu.Lock()
-	orders := own.engine.Plan(now)
-	own.mu.Unlock()
+func (ow *ownership) planAndSend(ctx context.Context, now time.Duration, goroutines *sync.WaitGroup) {
+	ow.mu.Lock()
+	orders := ow.engine.Plan(now)
+	ow.mu.Unlock()
 	for _, o := range orders {
 		select {
-		case own.orderSlots <- struct{}{}:
+		case ow.orderSlots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
 		goroutines.Go(func() {
-			own.send(ctx, o)
-			<-own.orderSlots
+			ow.send(ctx, o)
+			<-ow.orderSlots
 		})
 	}
-	notify(own.commit)
-	notify(own.phases)
-	own.transferTasks(ctx, now, goroutines)
+	notify(ow.commit)
+	notify(ow.phases)
+	ow.transferTasks(ctx, now, goroutines)
 }
 
 // transferTasks transfers tasks that can't start here to other data centres.
-func (own *ownership) transferTasks(ctx context.Context, now time.Duration, goroutines *sync.WaitGroup) {
+func (ow *ownership) transferTasks(ctx context.Context, now time.Duration, goroutines *sync.WaitGroup) {
 	var options []balancer.Option
-	own.config.Replica.View(func(r *registrar.Registry) {
-		options = balancer.Options(now, own.config.DataCentres, r, own.config.Catalogue)
+	ow.config.Replica.View(func(r *registrar.Registry) {
+		options = balancer.Options(now, ow.config.DataCentres, r, ow.config.Catalogue)
 	})
-	own.mu.Lock()
-	transfers := own.engine.TakeTransfers(now, func(s *briarspring.Step) string {
-		return balancer.Elsewhere(own.config.DataCentre, s, options)
+	ow.mu.Lock()
+	transfers := ow.engine.TakeTransfers(now, func(s *briarspring.Step) string {
+		return balancer.ChooseOther(ow.config.DataCentre, s, options)
 	})
-	own.mu.Unlock()
+	ow.mu.Unlock()
 	for _, tr := range transfers {
-		value, err := encoder.TaskTransfer(tr.Content)
+		value, err := encoder.EncodeTaskTransfer(tr.Content)
 		if err != nil {
-			own.logger.Error("transfer can't be encoded", "workflow", tr.Workflow, "error", err)
+			ow.logger.Error("transfer can't be encoded", "workflow", tr.Workflow, "error", err)
 			continue
 		}
 		goroutines.Go(func() {
-			own.publishRebuilt(ctx, func() []briarspring.KeyedRecord {
-				key := registrar.TransferKey(tr.Workflow, own.claim.Token, tr.Number, registrar.NewTry())
+			ow.publishRebuilt(ctx, func() []briarspring.KeyedRecord {
+				key := registrar.TransferKey(tr.Workflow, ow.claim.Token, tr.Number, registrar.NewAttemptID())
 				return []briarspring.KeyedRecord{{Key: key, Value: value}}
 			})
 		})
@@ -459,27 +459,27 @@
 }
 
 // send sends an order to its worker and passes the outcome to the dispatcher.
-func (own *ownership) send(ctx context.Context, o dispatcher.Order) {
+func (ow *ownership) send(ctx context.Context, o dispatcher.Order) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	var err error
 	switch o.Kind {
 	case dispatcher.OrderStart:
-		err = own.config.Workers.Start(ctx, o.Address, o.Worker, o.Start)
+		err = ow.config.Workers.Start(ctx, o.Address, o.Worker, o.Start)
 	case dispatcher.OrderStop:
-		err = own.config.Workers.Stop(ctx, o.Address, o.Worker, o.Stop)
+		err = ow.config.Workers.Stop(ctx, o.Address, o.Worker, o.Stop)
 	case dispatcher.OrderPace:
-		err = own.config.Workers.Pace(ctx, o.Address, o.Worker, o.Pace)
+		err = ow.config.Workers.Pace(ctx, o.Address, o.Worker, o.Pace)
 	}
 	verdict := briarspring.VerdictOf(err)
 	if err != nil {
-		own.logger.Debug("order failed", "worker", o.Worker, "kind", o.Kind, "workflow", o.Run().Task.Workflow, "error", err)
+		ow.logger.Debug("order failed", "worker", o.Worker, "kind", o.Kind, "workflow", o.Run().Task.Workflow, "error", err)
 	}
-	own.mu.Lock()
-	own.engine.Answered(own.config.Now(), o, verdict)
-	own.mu.Unlock()
+	ow.mu.Lock()
+	ow.engine.HandleVerdict(ow.config.Now(), o, verdict)
+	ow.mu.Unlock()
 	if verdict != briarspring.VerdictDone {
-		notify(own.wake)
+		notify(ow.wake)
 	}
 }
 
--- a/store.go
+++ b/store.go
@@ -24,27 +24,28 @@
 	return fmt.Sprintf("stream %s: epoch %d was replaced by a newer one", e.Stream, e.Epoch)
 }
 
-// NotDoneError reports that the platform certainly did not carry out a call.
-type NotDoneError struct {
+// NotExecutedError reports that the platform certainly did not carry out a
+// call.
+type NotExecutedError struct {
 	Call   string
 	Reason string
 }
 
 // Error implements error.
-func (e *NotDoneError) Error() string { return e.Call + " was refused: " + e.Reason }
+func (e *NotExecutedError) Error() string { return e.Call + " was refused: " + e.Reason }
 
-// DoubtError reports that the outcome of a call is unknown: it may have been
+// NoAnswerError reports that the outcome of a call is unknown: it may have been
 // carried out, or may still be.
-type DoubtError struct {
+type NoAnswerError struct {
 	Call  string
 	Cause error
 }
 
 // Error implements error.
-func (e *DoubtError) Error() string { return fmt.Sprintf("%s got no answer: %v", e.Call, e.Cause) }
+func (e *NoAnswerError) Error() string { return fmt.Sprintf("%s got no answer: %v", e.Call, e.Cause) }
 
 // Unwrap returns the cause.
-func (e *DoubtError) Unwrap() error { return e.Cause }
+func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
 // NewConnectionError reports that a call was not sent because its connection is
 // new, so the worker may have restarted.
--- a/stream.go
+++ b/stream.go
@@ -49,14 +49,14 @@
 	Incarnation int64
 }
 
-// OwnerBeat is an owner's heartbeat with the load of its workers.
-type OwnerBeat struct {
-	Token   uint64
-	Backlog int64            // Declared work that is waiting, in thousandths of a core times seconds.
-	Free    int64            // Unreserved thousandths of a core on all workers.
-	Largest int64            // Unreserved thousandths of a core on the worker with the most.
-	Total   int64            // Capacity of all usable workers in thousandths of a core.
-	Rooms   map[string]int64 // Idle thousandths of a core by image that may use them, minus its waiting demand.
+// OwnerHeartbeat is an owner's heartbeat with the load of its workers.
+type OwnerHeartbeat struct {
+	Token       uint64
+	Backlog     int64            // Declared work that is waiting, in thousandths of a core times seconds.
+	Free        int64            // Unreserved thousandths of a core on all workers.
+	Largest     int64            // Unreserved thousandths of a core on the worker with the most.
+	Total       int64            // Capacity of all usable workers in thousandths of a core.
+	IdleByImage map[string]int64 // Idle thousandths of a core by image that may use them, minus its waiting demand.
 }
 
 // HostPresence describes one incarnation of a host's process.
@@ -96,16 +96,17 @@
 	LeaseLeft time.Duration // After this time all its runs have certainly ended.
 }
 
-// PressModel is an owner's estimate of the interference that the tasks of an
-// image suffer: how their tail latency depends on the tasks on the same worker.
-type PressModel struct {
+// InterferenceModel is an owner's estimate of the interference that the tasks
+// of an image suffer: how their tail latency depends on the tasks on the same
+// worker.
+type InterferenceModel struct {
 	Serving  string
 	Constant float64 // Tail latency without other tasks, as a share of the target.
-	Pairs    []PressPair
+	Pairs    []InterferencePair
 }
 
-// PressPair is the estimated rise in tail latency that an image causes.
-type PressPair struct {
+// InterferencePair is the estimated rise in tail latency that an image causes.
+type InterferencePair struct {
 	Image    string
 	Rise     float64 // Share of the target per core in use.
 	Variance float64 // Variance of the estimate of Rise.
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -88,9 +88,9 @@
 // Done returns a channel that is closed when Run has ended.
 func (t *Tracker) Done() <-chan struct{} { return t.done }
 
-// Fresh returns when the last successful read was sent, and false before the
-// first one.
-func (t *Tracker) Fresh() (time.Duration, bool) {
+// LastReadSent returns when the last successful read was sent, and false before
+// the first one.
+func (t *Tracker) LastReadSent() (time.Duration, bool) {
 	at := t.lastReadAt.Load()
 	return time.Duration(at), at >= 0
 }
@@ -98,7 +98,7 @@
 // Age returns the time since the last successful read was sent, and false
 // before the first one.
 func (t *Tracker) Age() (time.Duration, bool) {
-	at, ok := t.Fresh()
+	at, ok := t.LastReadSent()
 	return t.config.Now() - at, ok
 }
 
@@ -136,8 +136,8 @@
 	t.responseTime.Store(int64(slices.Min(t.readTimes[:min(t.reads, responseTimeReads)])))
 }
 
-// Delay returns the store's current response time.
-func (t *Tracker) Delay() time.Duration { return time.Duration(t.responseTime.Load()) }
+// StoreLatency returns the store's current response time.
+func (t *Tracker) StoreLatency() time.Duration { return time.Duration(t.responseTime.Load()) }
 
 func (t *Tracker) recordFailure(ctx context.Context, err error) {
 	t.failures++
--- a/verdict.go
+++ b/verdict.go
@@ -10,15 +10,15 @@
 
 // The replies to an order.
 const (
-	VerdictDone       Verdict = iota + 1
-	VerdictUnanswered         // No reply: the order may be carried out, now or later.
-	VerdictSuperseded         // The worker has accepted a newer owner's token.
-	VerdictBarred             // The run's number is not above that of an earlier run of the task on the worker.
-	VerdictLate               // The order's deadline has passed.
-	VerdictFull               // The worker lacks free resources.
-	VerdictInvalid            // The worker can't parse or apply the order.
-	VerdictUnhealthy          // The worker is overloaded or unavailable and did nothing.
-	VerdictOtherLife          // Another worker, or a new incarnation, has taken over the address.
+	VerdictDone             Verdict = iota + 1
+	VerdictUnanswered               // No reply: the order may be carried out, now or later.
+	VerdictSuperseded               // The worker has accepted a newer owner's token.
+	VerdictStaleRun                 // The run's number is not above that of an earlier run of the task on the worker.
+	VerdictExpired                  // The order's deadline has passed.
+	VerdictFull                     // The worker lacks free resources.
+	VerdictInvalid                  // The worker can't parse or apply the order.
+	VerdictUnhealthy                // The worker is overloaded or unavailable and did nothing.
+	VerdictOtherIncarnation         // Another worker, or a new incarnation, has taken over the address.
 )
 
 // String returns the verdict in kebab case.
--- a/workflow.go
+++ b/workflow.go
@@ -91,8 +91,8 @@
 	TailTarget   time.Duration // Target of the tail latency of long-running tasks.
 	Checkpoints  bool          // Tasks write checkpoints.
 	Speculative  bool          // Several runs of a task may run at the same time.
-	Lasting      bool          // Long-running: the tasks run until the workflow is cancelled.
-	Fills        bool          // Best effort: the tasks use processors that others reserved and leave idle.
+	LongRunning  bool          // Long-running: the tasks run until the workflow is cancelled.
+	BestEffort   bool          // Best effort: the tasks use processors that others reserved and leave idle.
 	Gang         bool          // Tasks make progress only while all of them run, and end together.
 	OneRack      bool          // Tasks run faster if all of them are on one rack.
 	MaxMissing   int           // Tasks of a long-running step that may be stopped at once; zero for no limit.
@@ -124,11 +124,11 @@
 
 // ReservesProcessors reports whether processors are reserved for the tasks, as
 // opposed to best effort.
-func (w *Workflow) ReservesProcessors() bool { return len(w.Steps) > 0 && !w.Steps[0].Fills }
+func (w *Workflow) ReservesProcessors() bool { return len(w.Steps) > 0 && !w.Steps[0].BestEffort }
 
-// Lasting reports whether the workflow is long-running: it runs until it is
+// LongRunning reports whether the workflow is long-running: it runs until it is
 // cancelled.
-func (w *Workflow) Lasting() bool { return len(w.Steps) > 0 && w.Steps[0].Lasting }
+func (w *Workflow) LongRunning() bool { return len(w.Steps) > 0 && w.Steps[0].LongRunning }
 
 // Chain returns the declared run time of the longest chain of steps that starts
 // with the given step.
@@ -195,15 +195,15 @@
 
 // Queue accepts workflows and gives them their priority and objective.
 type Queue struct {
-	Name        string
-	Host        string // Host name in callers' requests.
-	Prefix      string // Path prefix of callers' requests.
-	Service     string // Pool of workers that run the tasks.
-	Priority    int    // Zero is the most urgent.
-	MaxAttempts int
-	Stretch     float64
-	Allowance   time.Duration
-	Advised     bool // An external service selects the workers that may run a step.
+	Name              string
+	Host              string // Host name in callers' requests.
+	Prefix            string // Path prefix of callers' requests.
+	Service           string // Pool of workers that run the tasks.
+	Priority          int    // Zero is the most urgent.
+	MaxAttempts       int
+	Stretch           float64
+	Allowance         time.Duration
+	ExternallyAdvised bool // An external service selects the workers that may run a step.
 }
 
 // Directory is the operators' configuration of queues.
@@ -231,12 +231,12 @@
 
 // The ways in which a run ends.
 const (
-	RunDone    RunEnd = 1
-	RunFailed  RunEnd = 2 // The run or its worker failed.
-	RunStopped RunEnd = 3
-	RunLapsed  RunEnd = 4 // The worker's lease expired.
-	RunBroken  RunEnd = 5 // Another member of its gang ended, or another cause.
-	RunAlone   RunEnd = 6 // The run waited too long for the other members of its gang.
+	RunDone        RunEnd = 1
+	RunFailed      RunEnd = 2 // The run or its worker failed.
+	RunStopped     RunEnd = 3
+	RunLapsed      RunEnd = 4 // The worker's lease expired.
+	RunBroken      RunEnd = 5 // Another member of its gang ended, or another cause.
+	RunGangTimeout RunEnd = 6 // The run waited too long for the other members of its gang.
 )
 
 // String returns the end in kebab case.
@@ -259,7 +259,7 @@
 	Capacity   Resources
 	Draining   bool
 	Remaining  time.Duration // Shortest time until a draining worker leaves.
-	Born       int64         // Start time of the worker's process in Unix milliseconds.
+	StartedAt  int64         // Start time of the worker's process in Unix milliseconds.
 	Clock      time.Duration // Worker's monotonic clock when it wrote the entry.
 }
 
@@ -279,20 +279,20 @@
 	Checkpoint string
 }
 
-// HoldRequest renews a worker's lease and asks for its runs.
-type HoldRequest struct {
-	Token      uint64        // The worker refuses orders with lower tokens from now on.
-	Until      time.Duration // End of the lease by the worker's clock.
-	EndsBefore uint64        // The worker can drop ends up to and including this number.
-	Wait       time.Duration // Longest time to wait for a new end.
+// LeaseRequest renews a worker's lease and asks for its runs.
+type LeaseRequest struct {
+	Token       uint64        // The worker refuses orders with lower tokens from now on.
+	Until       time.Duration // End of the lease by the worker's clock.
+	LastSeenEnd uint64        // The worker can drop ends up to and including this number.
+	Wait        time.Duration // Longest time to wait for a new end.
 }
 
-// HoldReply lists a worker's runs.
-type HoldReply struct {
-	Born    int64 // Start time of the worker's process in Unix milliseconds.
-	Clock   time.Duration
-	Running []RunningTask
-	Ended   []EndedTask
+// LeaseReply lists a worker's runs.
+type LeaseReply struct {
+	StartedAt int64 // Start time of the worker's process in Unix milliseconds.
+	Clock     time.Duration
+	Running   []RunningTask
+	Ended     []EndedTask
 }
 
 // StartOrder starts a run.
