--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -1,7 +1,7 @@
 // Package dispatcher decides, for the owner of a data centre, which task runs
 // on which worker. It keeps the state of workflows, runs and workers, processes
-// the workers' replies and returns orders. It does no input or output: the same
-// calls give the same orders.
+// the workers' replies and returns orders. It does no input or output and reads
+// no clock.
 //
 // A worker's report is authoritative for what runs on it. The progress stream
 // only records how runs ended, so that this is not lost with a worker. A new
@@ -25,8 +25,8 @@
 	MaxLease   time.Duration // Longest lease that a worker grants.
 	Logger     hclog.Logger
 
-	// Predecessor reports whether an earlier owner may have started runs that
-	// are not recorded.
+	// Predecessor is true if an earlier owner may have started runs that are
+	// not recorded.
 	Predecessor bool
 	// Pacer sets the speed of best-effort tasks. It may be nil.
 	Pacer Pacer
@@ -92,8 +92,8 @@
 	takeoverLogged     bool
 
 	orders           []Order
-	dirty            map[briarspring.WorkflowID]*job
-	needsPlan        bool // Something changed since the last plan.
+	dirty            map[briarspring.WorkflowID]*job // Jobs whose progress records have to be stored.
+	needsPlan        bool                            // Something changed since the last plan.
 	ratios           runTimeRatios
 	meanSize         map[string]float64 // Mean declared work of a workflow by queue.
 	now              time.Duration
@@ -110,7 +110,7 @@
 	Lost      uint64
 	Stops     uint64
 	Paces     uint64
-	Doubts    uint64
+	Doubts    uint64 // Starts that got no answer.
 	Completed uint64
 }
 
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -68,10 +68,10 @@
 }
 
 func (s *fixture) renew(id string) {
-	h, ok := s.d.NextRenewal(s.now, id)
+	req, ok := s.d.NextRenewal(s.now, id)
 	require.True(s.t, ok)
 	w := s.workers[id]
-	for len(w.ended) > 0 && w.ended[0].Number <= h.LastSeenEnd {
+	for len(w.ended) > 0 && w.ended[0].Number <= req.LastSeenEnd {
 		w.ended = w.ended[1:]
 	}
 	reply := briarspring.LeaseReply{StartedAt: w.startedAt, Clock: s.now, Ended: w.ended}
@@ -213,11 +213,11 @@
 		s.d.Submit(s.now, 0, workflow("a", step(2, 1000)), 5, nil, nil)
 		s.endRun("w0", starts(s.planAndApply())["w0"][0], briarspring.RunDone)
 		s.renewAll()
-		h, _ := s.d.NextRenewal(s.now, "w0")
-		assert.Zero(t, h.LastSeenEnd)
+		req, _ := s.d.NextRenewal(s.now, "w0")
+		assert.Zero(t, req.LastSeenEnd)
 		s.store()
-		h, _ = s.d.NextRenewal(s.now, "w0")
-		assert.Equal(t, uint64(1), h.LastSeenEnd)
+		req, _ = s.d.NextRenewal(s.now, "w0")
+		assert.Equal(t, uint64(1), req.LastSeenEnd)
 	})
 	t.Run("of a new incarnation are not acknowledged by numbers of the old one", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 1)
@@ -226,8 +226,8 @@
 		s.renewAll()
 		s.store()
 		s.d.RenewalFailed(s.now, "w0", briarspring.VerdictUnanswered)
-		h, _ := s.d.NextRenewal(s.now, "w0")
-		assert.Zero(t, h.LastSeenEnd)
+		req, _ := s.d.NextRenewal(s.now, "w0")
+		assert.Zero(t, req.LastSeenEnd)
 	})
 }
 
@@ -340,9 +340,9 @@
 func TestStragglers(t *testing.T) {
 	t.Run("are copied where that is allowed", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 2)
-		twice := step(1, 1000)
-		twice.Speculative = true
-		s.d.Submit(s.now, 0, workflow("a", twice), 5, nil, nil)
+		speculative := step(1, 1000)
+		speculative.Speculative = true
+		s.d.Submit(s.now, 0, workflow("a", speculative), 5, nil, nil)
 		first := starts(s.planAndApply())
 		s.now += 1500 * time.Millisecond
 		s.renewAll()
@@ -412,7 +412,7 @@
 		s.now += 3 * time.Second
 		s.renewAll()
 		for _, o := range s.planAndApply() {
-			assert.NotEqual(t, dispatcher.OrderStop, o.Kind, "it is all that runs of its workflow")
+			assert.NotEqual(t, dispatcher.OrderStop, o.Kind, "it is the only run of its workflow")
 		}
 	})
 	t.Run("is preempted for the memory of long-running tasks", func(t *testing.T) {
--- a/dispatcher/drain.go
+++ b/dispatcher/drain.go
@@ -9,16 +9,17 @@
 const (
 	// leaveMargin is the time before a draining worker leaves at which
 	// everything that still runs there is stopped: the longest stated stop time
-	// of 0.9 s plus the transit of orders. A stopped run has certainly ended,
-	// but after a worker leaves, its lease has to run out first.
+	// of 0.9 s plus the transit of orders. A run that was stopped can start
+	// elsewhere at once; after the worker has left, only once its lease has run
+	// out.
 	leaveMargin = 1500 * time.Millisecond
 	// maxEntryAge bounds the age of an entry as computed with the worker's
 	// clock; entries are written every 1.5 s.
 	maxEntryAge = 3 * time.Second
 )
 
-// updateLeaveTime estimates from its latest entry when a draining worker
-// leaves.
+// updateLeaveTime estimates when a draining worker leaves, based on its latest
+// entry.
 func (d *Dispatcher) updateLeaveTime(w *worker) {
 	if !w.entry.Draining {
 		w.leavesAt = 0
--- a/dispatcher/drain_test.go
+++ b/dispatcher/drain_test.go
@@ -78,9 +78,9 @@
 	for bound, want := range map[int]int{0: 2, 1: 1} {
 		t.Run(fmt.Sprintf("%d", bound), func(t *testing.T) {
 			s := newFixture(t, dispatcher.Config{Token: 1}, 2)
-			watch := longRunning(2, 2000)
-			watch.MaxPerWorker, watch.MaxMissing = 1, bound
-			s.d.Submit(s.now, 0, workflow("a", watch), 5, nil, nil)
+			service := longRunning(2, 2000)
+			service.MaxPerWorker, service.MaxMissing = 1, bound
+			s.d.Submit(s.now, 0, workflow("a", service), 5, nil, nil)
 			s.planAndApply()
 			s.renewAll()
 			s.addWorker("w2")
--- a/dispatcher/gang.go
+++ b/dispatcher/gang.go
@@ -42,8 +42,9 @@
 	}
 }
 
-// partial reports whether some tasks of a gang have a run, but not all of them
-// one of the same number that is not stopping.
+// partial reports whether a gang has runs but is not complete: complete means
+// that every task has exactly one run, that all runs have the same number, and
+// that none is stopping.
 func (s *step) partial() bool {
 	if s.unfinished == 0 || s.waiting == s.unfinished {
 		return false
@@ -62,7 +63,7 @@
 	task          *task
 	worker        *worker
 	share         float64 // Share of full speed.
-	bestEffortCPU int64   // Added to the worker's bestEffortCPU.
+	bestEffortCPU int64   // What the task adds to the worker's bestEffortCPU.
 }
 
 // assignGang starts all tasks of a gang or none, because members that started
@@ -83,9 +84,9 @@
 }
 
 // placeGang chooses workers for all members of a gang, or returns nil if there
-// is no room for all. A gang that runs faster on one rack is placed on one,
-// until it has waited for as long as its tasks take: that is the least that
-// running on several racks costs.
+// is no room for all. A gang with OneRack set waits for room on a single rack
+// for up to the expected run time of its tasks, because running on several
+// racks delays it by at least that much.
 func (d *Dispatcher) placeGang(s *step) []placement {
 	if !s.spec().OneRack {
 		return d.placeAll(s)
@@ -163,7 +164,8 @@
 	return slices.Compact(racks)
 }
 
-// mayFitOneRack reports whether one empty rack would have room for all members.
+// mayFitOneRack reports whether some rack would have room for all members if it
+// were empty.
 func (d *Dispatcher) mayFitOneRack(s *step) bool {
 	spec := s.spec()
 	fit := map[string]int{}
--- a/dispatcher/gang_test.go
+++ b/dispatcher/gang_test.go
@@ -106,9 +106,9 @@
 			s.advance(400 * time.Millisecond)
 		}
 		assertOneRun(t, s, 0, 0)
-		marks := s.d.TakePhases()
-		require.Len(t, marks, 1)
-		phase, err := encoder.DecodePhase(marks[0].Value)
+		phases := s.d.TakePhases()
+		require.Len(t, phases, 1)
+		phase, err := encoder.DecodePhase(phases[0].Value)
 		require.NoError(t, err)
 		assert.Equal(t, briarspring.PhaseFailed, phase)
 	})
@@ -127,9 +127,9 @@
 	})
 	t.Run("start from one checkpoint", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 2)
-		saves := gang(3, 2000)
-		saves.Checkpoints = true
-		s.d.Submit(s.now, 0, workflow("a", saves), 5, nil, nil)
+		checkpointed := gang(3, 2000)
+		checkpointed.Checkpoints = true
+		s.d.Submit(s.now, 0, workflow("a", checkpointed), 5, nil, nil)
 		s.planAndApply()
 		worker, run := s.anyRun()
 		s.workers[worker].running[run] = briarspring.RunningTask{Run: run, Percent: 30, Checkpoint: "c1"}
@@ -165,9 +165,9 @@
 		s.d.Submit(s.now, 0, workflow("a", step(1, 4000)), 5, nil, nil)
 		s.planAndApply()
 		taken, _ := s.anyRun()
-		together := gang(2, 6000)
-		together.OneRack = true
-		s.d.Submit(s.now, 0, workflow("b", together), 6, nil, nil)
+		oneRack := gang(2, 6000)
+		oneRack.OneRack = true
+		s.d.Submit(s.now, 0, workflow("b", oneRack), 6, nil, nil)
 		for worker := range starts(s.planAndApply()) {
 			assert.NotEqual(t, s.workers[taken].entry.Rack, s.workers[worker].entry.Rack)
 		}
@@ -176,15 +176,15 @@
 	t.Run("is given up after the time that the tasks take", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 4)
 		s.setRacks("r1", "r2", "r1", "r2")
-		apart := step(2, 4000)
-		apart.MaxPerWorker, apart.Estimate = 1, time.Minute
-		s.d.Submit(s.now, 0, workflow("a", apart), 5, nil, nil)
+		spread := step(2, 4000)
+		spread.MaxPerWorker, spread.Estimate = 1, time.Minute
+		s.d.Submit(s.now, 0, workflow("a", spread), 5, nil, nil)
 		s.planAndApply()
 		free := s.workersWithout()
 		s.setRacksOf(free, "r1", "r2")
-		together := gang(2, 6000)
-		together.OneRack = true
-		s.d.Submit(s.now, 0, workflow("b", together), 6, nil, nil)
+		oneRack := gang(2, 6000)
+		oneRack.OneRack = true
+		s.d.Submit(s.now, 0, workflow("b", oneRack), 6, nil, nil)
 		s.advance(600 * time.Millisecond)
 		assertOneRun(t, s, 2, 1)
 		s.advance(600 * time.Millisecond)
@@ -193,9 +193,9 @@
 	t.Run("is not waited for by a gang that is too wide for any", func(t *testing.T) {
 		s := newFixture(t, dispatcher.Config{Token: 1}, 2)
 		s.setRacks("r1", "r2")
-		together := gang(2, 6000)
-		together.OneRack = true
-		s.d.Submit(s.now, 0, workflow("b", together), 6, nil, nil)
+		oneRack := gang(2, 6000)
+		oneRack.OneRack = true
+		s.d.Submit(s.now, 0, workflow("b", oneRack), 6, nil, nil)
 		assert.Equal(t, 2, countRuns(starts(s.planAndApply())))
 	})
 }
@@ -211,16 +211,17 @@
 	return list
 }
 
-// setRacksOf puts some workers on racks, and the others on the same ones in turn.
+// setRacksOf puts each of the given workers on a rack of its own, and the other
+// workers on the same racks in turn.
 func (s *fixture) setRacksOf(ids []string, racks ...string) {
-	of := map[string]string{}
+	rackOf := map[string]string{}
 	for i, id := range ids {
-		of[id] = racks[i]
+		rackOf[id] = racks[i]
 	}
 	var names []string
 	others := 0
 	for i := range len(s.workers) {
-		rack, ok := of[fmt.Sprintf("w%d", i)]
+		rack, ok := rackOf[fmt.Sprintf("w%d", i)]
 		if !ok {
 			rack = racks[others%len(racks)]
 			others++
--- a/dispatcher/hold.go
+++ b/dispatcher/hold.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// unansweredDelay is the time from an unanswered start to the stop that
-	// bars it; a slow worker lists the run in the meantime.
+	// unansweredDelay is how long after an unanswered start a stop is sent, so
+	// that the run cannot start any more; a worker that is only slow lists the
+	// run before that.
 	unansweredDelay = 250 * time.Millisecond
 	// stopRetryInterval is the time after which a stop without effect is sent
 	// again; above the longest stated stop time of 0.9 s.
@@ -23,27 +24,27 @@
 	if w == nil {
 		return briarspring.LeaseRequest{}, false
 	}
-	h := briarspring.LeaseRequest{Token: d.config.Token}
+	req := briarspring.LeaseRequest{Token: d.config.Token}
 	if !w.fenced {
 		// No inherited workflow starts before every worker has answered, so the
 		// first renewal does not wait for the end of a run.
-		return h, true
+		return req, true
 	}
-	h.Wait = w.renewalWait()
+	req.Wait = w.renewalWait()
 	if w.renewalFailed {
 		// Extending the lease without an answer would keep it from ever ending.
-		h.Until = w.leaseUntil
-		return h, true
+		req.Until = w.leaseUntil
+		return req, true
 	}
-	h.Until = w.clockNow(now) + d.config.Lease
-	w.leaseUntil = max(w.leaseUntil, h.Until)
-	h.LastSeenEnd = w.lastEndStored
-	return h, true
+	req.Until = w.clockNow(now) + d.config.Lease
+	w.leaseUntil = max(w.leaseUntil, req.Until)
+	req.LastSeenEnd = w.lastEndStored
+	return req, true
 }
 
-// RenewalFailed records that a renewal failed. The worker may have restarted,
-// and then numbers its ends anew. RenewalFailed reports whether this is the
-// first failure in a row.
+// RenewalFailed records that a renewal failed, and reports whether this is the
+// first failure in a row. The worker may have restarted and begun to number its
+// ends from the start, so the next renewal must not acknowledge any.
 func (d *Dispatcher) RenewalFailed(now time.Duration, id string, v briarspring.Verdict) bool {
 	d.now = now
 	w := d.workers[id]
@@ -122,8 +123,9 @@
 	w.lastEndSeen = 0
 	w.lastEndStored = 0
 	w.failureStreak = 0
-	// Renewals computed with the clock before the restart may have reached the
-	// worker after it, when its clock had started anew.
+	// The restarted worker's clock starts anew, and a renewal computed with the
+	// earlier clock may have reached it, so its lease may be of any length up
+	// to MaxLease.
 	if !first {
 		w.leaseUntil = reply.Clock + d.config.MaxLease
 	}
@@ -174,7 +176,7 @@
 	d.updatePhase(j)
 }
 
-// age returns the time since a run was ordered; zero for none.
+// age returns the time since the run was ordered, or zero if the run is nil.
 func (r *run) age(now time.Duration) time.Duration {
 	if r == nil {
 		return 0
@@ -321,7 +323,8 @@
 	})
 }
 
-// expireLeases marks the runs lost on workers whose lease has certainly ended.
+// expireLeases marks as lost all runs on workers whose lease has certainly
+// ended.
 func (d *Dispatcher) expireLeases() {
 	for _, w := range d.workersByID {
 		if len(w.runs) == 0 || d.now-w.answeredAt < silenceLimit {
@@ -351,9 +354,9 @@
 	return d.predecessorsGoneAt + time.Duration(float64(d.config.Lease)*(1+clockSkew)) + leaseMargin
 }
 
-// Silent returns the workers that do not answer, with the time after which all
-// their runs have certainly ended. Workers whose leases others may still renew
-// are left out.
+// Silent returns the workers that do not answer, each with the time left until
+// its lease, and with it every run there, has certainly ended. It omits workers
+// whose lease an earlier owner may still renew.
 func (d *Dispatcher) Silent(now time.Duration) []briarspring.SilentWorker {
 	var list []briarspring.SilentWorker
 	for _, w := range d.workersByID {
--- a/dispatcher/job.go
+++ b/dispatcher/job.go
@@ -10,8 +10,8 @@
 // job is a workflow and the part of it that this data centre runs.
 type job struct {
 	workflow          *briarspring.Workflow
-	offset            uint64        // Of the submission.
-	submitted         time.Duration // By this process's clock.
+	offset            uint64        // Log offset of the submission.
+	submitted         time.Duration // Time of the submission by this process's clock.
 	steps             []*step       // Steps of all occurrences, one after the other.
 	tasks             []*task       // Tasks of all steps, by position.
 	cancelled         bool
@@ -245,8 +245,8 @@
 	})
 }
 
-// markDone marks the task done. Steps that become ready by this start waiting
-// for workers now.
+// markDone marks the task done. The waiting time of steps that become ready by
+// this is counted from now.
 func (t *task) markDone(now time.Duration) {
 	if t.done {
 		return
--- a/dispatcher/load.go
+++ b/dispatcher/load.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// maxRoomImages limits the images whose room is reported to other data
-	// centres.
-	maxRoomImages = 32
-	// minRoomShare is the share of full speed from which idle processors count
-	// as room for an image.
-	minRoomShare = 0.7
-	// typicalCores is the size of the task for which room is computed.
+	// maxIdleImages limits the images for which idle processors are reported to
+	// other data centres.
+	maxIdleImages = 32
+	// minIdleShare is the share of full speed at which an image must be able to
+	// run on a worker for the idle processors there to be reported for it.
+	minIdleShare = 0.7
+	// typicalCores is the size of the task for which that share is computed.
 	typicalCores = 2.0
 )
 
@@ -30,10 +30,10 @@
 		b.Total += w.entry.Capacity.MilliCPU()
 		b.Free += w.free().MilliCPU()
 		b.Largest = max(b.Largest, w.free().MilliCPU())
-		d.addRooms(b.IdleByImage, w, waiting)
+		d.addIdle(b.IdleByImage, w, waiting)
 	}
 	for _, i := range waiting {
-		b.IdleByImage[i.image] -= i.cores
+		b.IdleByImage[i.image] -= i.milliCPU
 	}
 	for _, j := range d.jobs {
 		if !j.inactive() && !j.workflow.LongRunning() {
@@ -45,8 +45,8 @@
 
 // imageDemand is the processor demand of waiting best-effort tasks of an image.
 type imageDemand struct {
-	image string
-	cores int64 // In millicores.
+	image    string
+	milliCPU int64
 }
 
 // bestEffortDemand returns the images of best-effort tasks, sorted by
@@ -59,7 +59,7 @@
 		}
 		for _, s := range j.steps {
 			if spec := s.spec(); spec.BestEffort && s.unfinished > 0 {
-				sums[spec.Image] += 0
+				sums[spec.Image] += 0 // Lists the image even if none of its tasks waits.
 				if s.ready(d.now) {
 					sums[spec.Image] += int64(s.waiting) * spec.Resources.MilliCPU()
 				}
@@ -69,22 +69,22 @@
 	list := make([]imageDemand, 0, len(sums))
 	for image, n := range sums {
 		d.bestEffortImages[image] = true
-		list = append(list, imageDemand{image: image, cores: n})
+		list = append(list, imageDemand{image: image, milliCPU: n})
 	}
 	for image := range d.bestEffortImages {
-		if _, ok := sums[image]; !ok && len(list) < maxRoomImages {
+		if _, ok := sums[image]; !ok && len(list) < maxIdleImages {
 			list = append(list, imageDemand{image: image})
 		}
 	}
 	slices.SortFunc(list, func(a, b imageDemand) int {
-		return cmp.Or(cmp.Compare(b.cores, a.cores), cmp.Compare(a.image, b.image))
+		return cmp.Or(cmp.Compare(b.milliCPU, a.milliCPU), cmp.Compare(a.image, b.image))
 	})
-	return list[:min(len(list), maxRoomImages)]
+	return list[:min(len(list), maxIdleImages)]
 }
 
-// addRooms adds a worker's idle processors to the room of each image that could
+// addIdle adds a worker's idle processors to the sum of each image that could
 // use them.
-func (d *Dispatcher) addRooms(rooms map[string]int64, w *worker, images []imageDemand) {
+func (d *Dispatcher) addIdle(idleByImage map[string]int64, w *worker, images []imageDemand) {
 	idle := int64(w.idle())
 	if idle <= 0 {
 		return
@@ -95,8 +95,8 @@
 		latency, bestEffort = w.latencyTasks(d.now), w.bestEffortTasks()
 	}
 	for _, i := range images {
-		if d.config.Pacer == nil || d.config.Pacer.SpeedFraction(w.id, i.image, typicalCores, latency, bestEffort) >= minRoomShare {
-			rooms[i.image] += idle
+		if d.config.Pacer == nil || d.config.Pacer.SpeedFraction(w.id, i.image, typicalCores, latency, bestEffort) >= minIdleShare {
+			idleByImage[i.image] += idle
 		}
 	}
 }
--- a/dispatcher/order.go
+++ b/dispatcher/order.go
@@ -32,7 +32,7 @@
 		}
 	case OrderPace:
 		if v != briarspring.VerdictDone {
-			r.paceSent = -1
+			r.paceSent = -1 // Differs from every pace, so that the pace is sent again.
 		}
 	}
 }
--- a/dispatcher/pace.go
+++ b/dispatcher/pace.go
@@ -13,8 +13,8 @@
 	// paceInterval is the shortest time between two pace decisions for a
 	// worker; the platform averages tail latencies over half a second.
 	paceInterval = 200 * time.Millisecond
-	// normalWait is how long a renewal waits for the end of a run; tail
-	// latencies are read at the same rate.
+	// normalWait is how long a renewal waits for the end of a run; each reply
+	// also brings new tail latencies.
 	normalWait = 500 * time.Millisecond
 	// interferenceWait is the same on a worker with interference; there, tail
 	// latencies rise to several times their target within half a second.
@@ -59,14 +59,14 @@
 }
 
 const (
-	// slowPercent is the pace in percent up to which a task had better wait for
-	// another worker; it holds memory that others could use.
+	// slowPercent is the pace in percent up to which a task should rather wait
+	// for another worker, because it holds memory that others could use.
 	slowPercent = 20
 	// slowLimit is how long a task with checkpoints stays at that pace before
 	// it is stopped; a restart costs 0.25 to 0.6 s.
 	slowLimit = 900 * time.Millisecond
-	// moveShare is the share of full speed elsewhere that makes a move worth
-	// it.
+	// moveShare is the share of full speed on another worker from which a move
+	// is worth the restart.
 	moveShare = 0.7
 	// slowLimitUnsaved is the limit for a task without checkpoints, which loses
 	// its work.
--- a/dispatcher/plan.go
+++ b/dispatcher/plan.go
@@ -153,8 +153,8 @@
 }
 
 // compareBestEffort orders best-effort steps by priority, then by work left per
-// unit of value. Workflows that are nearly done come before those that have
-// just started, and late ones come after those in time.
+// unit of value. This favours workflows that are nearly done over those that
+// have just started, and those in time over late ones.
 func compareBestEffort(a, b candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.step.job.workflow.Priority, b.step.job.workflow.Priority),
@@ -186,8 +186,8 @@
 
 // workPerValue returns the work left per unit of value. In bursts that cannot
 // all be served in time, ordering by it gives the processors to the workflows
-// that earn most with them, and finishes started workflows before new ones take
-// their share.
+// that yield the most value for the work left, and finishes started workflows
+// before new ones take processors from them.
 func (d *Dispatcher) workPerValue(s *step, slack time.Duration) float64 {
 	j := s.job
 	left := float64(j.unfinishedWork(s.occurrence))
@@ -405,8 +405,8 @@
 	// minShare is the lowest share of full speed at which a best-effort task is
 	// worth starting; a slower task holds back the rate of its workflow.
 	minShare = 0.4
-	// slowdownCost is the cost of a worker on which a task makes no progress,
-	// relative to one whose processors are all in use.
+	// slowdownCost is the cost of a worker on which a task makes no progress; a
+	// worker whose processors are all in use costs one.
 	slowdownCost = 1.5
 	// interferenceGain is the gain of a worker on which every image interferes
 	// with something, for tasks that interfere with nothing there: they leave
--- a/dispatcher/preempt.go
+++ b/dispatcher/preempt.go
@@ -7,8 +7,8 @@
 )
 
 // starvationTime is how long a workflow without live runs waits for a worker
-// where its image interferes with nothing, before one of its tasks starts where
-// it slows others least.
+// where its tasks may run at minShare of full speed. After that, one of them
+// starts on the worker where it may run fastest, however slow that is.
 const starvationTime = 1200 * time.Millisecond
 
 // preemptFor stops best-effort tasks to free memory for a task with reserved
@@ -61,14 +61,14 @@
 // compareVictims sorts runs that lose least first: those with checkpoints, then
 // those with the least progress.
 func compareVictims(a, b *run) int {
-	saves := func(r *run) int {
+	unsaved := func(r *run) int {
 		if r.task.step.spec().Checkpoints {
 			return 0
 		}
 		return 1
 	}
 	return cmp.Or(
-		cmp.Compare(saves(a), saves(b)),
+		cmp.Compare(unsaved(a), unsaved(b)),
 		cmp.Compare(a.progress, b.progress),
 		cmp.Compare(a.ref.Task.Workflow, b.ref.Task.Workflow),
 		cmp.Compare(a.ref.Task.Step, b.ref.Task.Step),
--- a/dispatcher/transfer.go
+++ b/dispatcher/transfer.go
@@ -16,7 +16,7 @@
 	// reservedWait is the same for a workflow with reserved processors and no
 	// live runs; half of the time that its objective leaves.
 	reservedWait = 150 * time.Millisecond
-	// maxTransfers limits the transfers of one round.
+	// maxTransfers limits the transfers that one call of TakeTransfers returns.
 	maxTransfers = 16
 )
 
--- a/dispatcher/worker.go
+++ b/dispatcher/worker.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// clockSkew is by how much a worker's clock may run slower than this
-	// process's; the platform states two percent, the rest covers rounding.
+	// clockSkew is the fraction by which a worker's clock may run slower than
+	// this process's; the platform states two percent, the rest covers
+	// rounding.
 	clockSkew = 0.025
 	// leaseMargin covers the rounding of clock readings to milliseconds.
 	leaseMargin = 50 * time.Millisecond
@@ -97,9 +98,9 @@
 	d.forgetWorkers()
 }
 
-// unlistedRetention is how long a worker stays known after it left the list:
-// entries that expire during an outage of the log return within seconds, and
-// each end must be processed only once.
+// unlistedRetention is how long a worker stays known after it left the list.
+// Entries that expire during an outage of the log return within seconds, and if
+// the worker had been forgotten, its ends would be processed a second time.
 const unlistedRetention = 5 * time.Minute
 
 // forgetWorkers drops workers that left the list long ago and have no runs. It
@@ -188,7 +189,7 @@
 	worker          *worker
 	state           runState
 	since           time.Duration // When it was ordered.
-	startAnsweredAt time.Duration // When the start was answered, or given up.
+	startAnsweredAt time.Duration // When the start was answered, or counted as unanswered.
 	startBy         time.Duration // Deadline for carrying out the start, by the worker's clock.
 	listed          bool          // Was in a list of running tasks.
 	stopping        bool
--- a/dispatcher/worker_test.go
+++ b/dispatcher/worker_test.go
@@ -10,8 +10,8 @@
 	"briarspring/dispatcher"
 )
 
-// advance moves the time on by d, renews all leases every 200 ms meanwhile, and
-// returns the orders.
+// advance moves the time forward by d in steps of 200 ms, renews all leases after
+// each step, and returns the orders.
 func (s *fixture) advance(d time.Duration) []dispatcher.Order {
 	const interval = 200 * time.Millisecond
 	var orders []dispatcher.Order
--- a/pacer/estimate.go
+++ b/pacer/estimate.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// priorStdDev is the standard deviation of the rise per core before the first
-	// measurement, as a fraction of the target.
+	// priorStdDev is the standard deviation of the rise per core before the
+	// first measurement, as a fraction of the target.
 	priorStdDev = 0.3
 	// measurementStdDev is the standard deviation of a measured tail around the
 	// prediction, as a fraction of the target.
 	measurementStdDev = 0.35
-	// forgettingFactor multiplies the weight of all earlier measurements with each
-	// new one: the estimates rest on about 600 measurements, ten seconds of a data
-	// centre with 16 workers.
+	// forgettingFactor multiplies the weight of all earlier measurements with
+	// each new one: the estimates rest on about 600 measurements, ten seconds of
+	// a data centre with 16 workers.
 	forgettingFactor = 0.9983
 	// maxTail caps a measured tail in multiples of its target, so that single
 	// peaks don't outweigh hundreds of measurements.
@@ -69,8 +69,8 @@
 	return len(t.value) - 1, true
 }
 
-// observe fits the model to a measured tail and the cores that each image used on
-// the worker.
+// observe fits the model to a measured tail and the cores that each image used
+// on the worker.
 func (t *tailModel) observe(tail float64, cores map[string]float64) {
 	positions := make([]int, 1, len(cores)+1)
 	inputs := make([]float64, 1, len(cores)+1)
@@ -135,8 +135,8 @@
 }
 
 const (
-	// maxSharedStdErr is the standard error below which a rise is shared with other
-	// owners.
+	// maxSharedStdErr is the standard error below which a rise is shared with
+	// other owners.
 	maxSharedStdErr = 0.12
 	// adoptFactor is the ratio of the local variance to the received one above
 	// which the received value replaces the local one.
--- a/pacer/pacer.go
+++ b/pacer/pacer.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// throttleTail is the tail, as a fraction of the target, up to which
-	// interfering tasks may raise it.
+	// throttleTail is the highest tail, as a fraction of the target, that
+	// interfering tasks may cause.
 	throttleTail = 0.75
 	// stopTail is the tail, as a fraction of the target, from which interfering
 	// tasks are stopped.
 	stopTail = 0.95
-	// recoverTail is the tail, as a fraction of the target, below which interfering
-	// tasks are throttled less.
+	// recoverTail is the tail, as a fraction of the target, below which
+	// interfering tasks are throttled less.
 	recoverTail = 0.6
 	// maxOverTime is how long a tail may stay at stopTail or above before all
-	// best-effort tasks of the worker are stopped, whatever the models predict. The
-	// platform allows 4 s above the target.
+	// best-effort tasks of the worker are stopped, whatever the models predict.
+	// The platform allows 4 s above the target.
 	maxOverTime = 900 * time.Millisecond
-	// interferingRise is the rise per core, as a fraction of the target, from which
-	// an image counts as interfering.
+	// interferingRise is the rise per core, as a fraction of the target, from
+	// which an image counts as interfering.
 	interferingRise = 0.06
-	// peakFactor is the assumed ratio of peak to average interference, which
-	// drifts.
+	// peakFactor is the ratio of peak to average interference that is assumed at
+	// a gain of one; interference drifts.
 	peakFactor = 3.0
 	// minGain and maxGain limit the gain that measurements apply to the headroom.
 	minGain = 0.1
 	maxGain = 1.0
-	// gainDecrease applies after a tail of throttleTail or more, gainIncrease after
-	// one below recoverTail.
+	// gainDecrease applies after a tail of throttleTail or more, gainIncrease
+	// after one below recoverTail.
 	gainDecrease = 0.5
 	gainIncrease = 1.15
-	// usageWeight is the weight of the newest measurement in the moving average of
-	// the cores in use; tails lag them by about half a second.
+	// usageWeight is the weight of the newest measurement in the moving average
+	// of the cores in use; tails lag them by about half a second.
 	usageWeight = 0.6
 	// fullSpeed is the pace of an unthrottled task, in percent.
 	fullSpeed = 100
@@ -156,8 +156,8 @@
 	return sum
 }
 
-// fullSpeedRise returns the average rise that a task causes at full speed, or zero
-// if it doesn't interfere.
+// fullSpeedRise returns the average rise that a task causes at full speed, or
+// zero if it doesn't interfere.
 func (p *Pacer) fullSpeedRise(f dispatcher.BestEffortTask, s dispatcher.ServingTask) float64 {
 	if rise := p.RisePerCore(s.Image, f.Image); rise >= interferingRise {
 		return rise * f.Cores
@@ -267,7 +267,8 @@
 	}
 }
 
-// harmless reports whether an image is known not to interfere with a serving one.
+// harmless reports whether an image is known not to interfere with a serving
+// one.
 func (p *Pacer) harmless(serving, image string) bool {
 	model := p.models[serving]
 	if model == nil {
@@ -288,7 +289,8 @@
 	return paces
 }
 
-// Models returns the well-known coefficients, to share them with other owners.
+// Models returns the coefficients with a low standard error, to share them with
+// other owners.
 func (p *Pacer) Models() []briarspring.InterferenceModel {
 	var models []briarspring.InterferenceModel
 	for _, serving := range slices.Sorted(maps.Keys(p.models)) {
--- a/pacer/pacer_test.go
+++ b/pacer/pacer_test.go
@@ -13,8 +13,8 @@
 	"briarspring/pacer"
 )
 
-// simulation is a data centre with known interference: "heavy" raises the tail of
-// "ledger" only, "light" raises none. Tails follow the load with a lag.
+// simulation is a data centre with known interference: "heavy" raises the tail
+// of "ledger" only, "light" raises none. Tails follow the load with a lag.
 type simulation struct {
 	p           *pacer.Pacer
 	now         time.Duration
@@ -43,7 +43,8 @@
 	return 0.4 + 0.05*s.random.Float64() + 0.5*s.interfering[worker]
 }
 
-// measure takes a measurement of a worker and returns the tail and the decisions.
+// measure takes a measurement of a worker and returns the tail and the
+// decisions.
 func (s *simulation) measure(worker, image string, tasks []dispatcher.BestEffortTask) (float64, []dispatcher.Pace) {
 	s.now += 500 * time.Millisecond
 	tail := s.tail(worker, image, tasks)
@@ -79,8 +80,8 @@
 		assert.InDelta(t, 1, s.p.SpeedFraction("new", "heavy", 2, lowTail("archive"), nil), 0)
 		assert.InDelta(t, 1, s.p.SpeedFraction("new", "light", 2, lowTail("ledger"), nil), 0)
 	})
-	// Tasks of images considered harmless kept starting next to a tail that one of
-	// them raised, and each ran until the next measurement.
+	// Guards against starting task after task of an image considered harmless on a
+	// worker whose tail that image raises; each ran until the next measurement.
 	t.Run("sends no task where a tail is too high", func(t *testing.T) {
 		hot := []dispatcher.ServingTask{{Image: "archive", TailRatio: 1.2, Measured: true}}
 		assert.Zero(t, s.p.SpeedFraction("new", "light", 2, hot, nil))
--- a/placer/baseline.go
+++ b/placer/baseline.go
@@ -1,7 +1,8 @@
 package placer
 
 // placeFirstFit starts a task on the first worker with enough free resources.
-// Under a static split, services and batch tasks use separate workers.
+// Under a static split, services and batch tasks use separate workers. Under
+// first-fit, batch tasks are evicted for an executor that fits nowhere.
 func (r *Round) placeFirstFit(t Task) bool {
 	for _, w := range r.workers {
 		if !w.Usable || !r.allows(t, w) || !t.Resources.Fits(w.Free) {
--- a/placer/evict.go
+++ b/placer/evict.go
@@ -26,11 +26,11 @@
 		}
 	}
 	if best == nil {
-		r.recordWait(t, fmt.Sprintf("no worker has %s free, nor by evictions", t.Resources))
+		r.recordWait(t, fmt.Sprintf("no worker has %s free, even after evictions", t.Resources))
 		return
 	}
 	if r.evictions+len(best.victims) > r.placer.config.MaxEvictions {
-		r.recordWait(t, "evictions of this round are used up")
+		r.recordWait(t, "limit of evictions per round reached")
 		return
 	}
 	r.evictions += len(best.victims)
@@ -92,8 +92,8 @@
 }
 
 // prune removes victims that the task doesn't need, most expensive first.
-func (p *evictionPlan) prune(t Task, soon briarspring.Resources) *evictionPlan {
-	free := soon
+func (p *evictionPlan) prune(t Task, freeAfterEvictions briarspring.Resources) *evictionPlan {
+	free := freeAfterEvictions
 	for _, v := range p.victims {
 		free = free.Add(v.Resources)
 	}
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -65,8 +65,9 @@
 	assert.Contains(t, d[0].Reason, "slow a service")
 }
 
-// Estimates learned on a loaded host kept the last tasks of a job off every
-// worker, and with no task next to a service no measurement corrected them.
+// Guards against tasks that never start because estimates learned on a loaded
+// host rule out every worker: while no task runs next to a service, no
+// measurement corrects the estimates.
 func TestProbeStartsWhereItIsQuietest(t *testing.T) {
 	service := placer.Running{Service: "ledger", Resources: cores(2)}
 	probe := task(2, false)
--- a/placer/ranking.go
+++ b/placer/ranking.go
@@ -8,7 +8,8 @@
 	score  float64
 }
 
-// ranking keeps the limit cheapest candidates; earlier ones win ties.
+// ranking keeps up to limit of the cheapest candidates, sorted by cost. Among
+// candidates of equal cost, those added earlier come first.
 type ranking struct {
 	limit      int
 	candidates []candidate
