--- a/claimer/claimer.go
+++ b/claimer/claimer.go
@@ -40,8 +40,8 @@
 	// of a hundred workers.
 	largeRemoteDelay = 900 * time.Millisecond
 	// vacantLargeRemoteDelay is the delay of large hosts in other data centres
-	// when there is no owner. A large local host that restarts is back within that
-	// time or not soon.
+	// when there is no owner. A large local host that restarts is either back
+	// within that time or not for a while.
 	vacantLargeRemoteDelay = 500 * time.Millisecond
 	// vacantSmallLocalDelay is the delay of a small local host when there is no
 	// owner.
@@ -60,7 +60,7 @@
 	Small         bool // Much larger hosts than this one are known.
 	SizesDiffer   bool // Known hosts differ widely in size.
 	Owner         string
-	Token         uint64        // Of the claim in force; zero when there never was one.
+	Token         uint64        // Token of the claim in force; zero if there never was one.
 	OwnerLocal    bool          // The owner is in the data centre.
 	OwnerSmall    bool          // Much larger hosts than the owner are known.
 	LastHeartbeat time.Duration // When the owner's last heartbeat was read.
--- a/claimer/claimer_test.go
+++ b/claimer/claimer_test.go
@@ -45,8 +45,8 @@
 		s.LastHeartbeat, s.LastRead = s.Now-5*second, s.Now-second
 		assertClaims(t, false, s)
 	})
-	// A log slowed down 75 times delays heartbeats, and every takeover costs a
-	// barrier. Rolling stops under such a log changed the owner of one data centre
+	// A log that is 75 times slower delays heartbeats, and every takeover costs a
+	// barrier. Rolling stops with such a log changed the owner of one data centre
 	// four times.
 	t.Run("not because the log is slow", func(t *testing.T) {
 		s := healthy(60 * second)
@@ -131,7 +131,7 @@
 		assertClaims(t, true, large(s))
 		assertClaims(t, false, small(s))
 	})
-	t.Run("wait as remote hosts where all hosts are of one size", func(t *testing.T) {
+	t.Run("wait as long as any remote host if all hosts have the same size", func(t *testing.T) {
 		assertClaims(t, false, elsewhere(vacant(700*time.Millisecond)))
 		assertClaims(t, true, elsewhere(vacant(4300*time.Millisecond)))
 	})
--- a/learner/learner.go
+++ b/learner/learner.go
@@ -11,7 +11,7 @@
 	MinWeight     float64 // Number of measurements from which an estimate counts in full.
 	Retention     float64 // Factor applied to estimates by each call of Decay.
 	BaselineRate  float64 // Weight of one measurement in the moving average of the baseline.
-	BaselineDrift float64 // Relative rise per measurement until one without batch tasks.
+	BaselineDrift float64 // Relative rise of the baseline per measurement before the first one without batch tasks.
 }
 
 // Learner holds the estimates of one data centre.
@@ -30,7 +30,7 @@
 // fraction of its baseline.
 type slope struct {
 	value  float64
-	weight float64 // Number of measurements, decayed.
+	weight float64 // Number of measurements, reduced by Decay.
 }
 
 // New returns a learner without estimates.
@@ -137,8 +137,8 @@
 	return p99.Seconds() / s.baseline
 }
 
-// Decay reduces all estimates, so that a pair of service and class that the placer
-// avoids is tried again.
+// Decay reduces all estimates, so that a pair of service and class that the
+// placer avoids is tried again.
 func (l *Learner) Decay() {
 	for _, s := range l.services {
 		for _, k := range s.slopes {
--- a/scheduler/agent.go
+++ b/scheduler/agent.go
@@ -13,7 +13,7 @@
 const (
 	// leaseMargin covers the rounding of clock readings to milliseconds.
 	leaseMargin = 50 * time.Millisecond
-	// minExchangeGap combines wake-ups that come close together into one exchange.
+	// minExchangeGap combines wake-ups in quick succession into one exchange.
 	minExchangeGap = 10 * time.Millisecond
 )
 
@@ -176,7 +176,7 @@
 // since the last report received.
 func (s *Scheduler) applyReport(a *agent, sent briarspring.Exchange, report briarspring.WorkerReport, received time.Time) {
 	if report.Epoch > a.epoch {
-		s.logger.Warn("worker obeys a newer owner", "worker", a.host.Name, "epoch", report.Epoch, "own-epoch", a.epoch)
+		s.logger.Warn("worker has accepted a newer owner", "worker", a.host.Name, "epoch", report.Epoch, "own-epoch", a.epoch)
 		s.ownership.superseded = true
 		return
 	}
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -26,7 +26,7 @@
 
 // Error implements error.
 func (e *UnknownOutcomeError) Error() string {
-	return fmt.Sprintf("the log did not answer in time; ask again with request id %q", e.RequestID)
+	return fmt.Sprintf("the log did not answer in time; retry with request id %q", e.RequestID)
 }
 
 // ReadStates calls f with both states. They must not be used after f returns.
--- a/scheduler/apply.go
+++ b/scheduler/apply.go
@@ -27,7 +27,7 @@
 	s.notify()
 }
 
-// restoreConfig replaces the state by a snapshot, unless that is older.
+// restoreConfig replaces the state with a snapshot unless the snapshot is older.
 func (s *Scheduler) restoreConfig(item follower.Item) {
 	if item.Offset < s.conf.Applied() {
 		return
@@ -110,7 +110,7 @@
 }
 
 // handleAppliedEvent wakes the agents that an applied event concerns and updates
-// the state that is kept besides the streams.
+// the state that is not stored in the streams.
 func (s *Scheduler) handleAppliedEvent(event briarspring.Event) {
 	if _, idle := event.(briarspring.Beat); !idle {
 		s.roundDue = true
--- a/scheduler/decide.go
+++ b/scheduler/decide.go
@@ -143,7 +143,7 @@
 	case w.Gone():
 		return "is gone"
 	case a == nil || a.receivedAt.IsZero():
-		return "was not reached under this epoch"
+		return "has not answered under this epoch yet"
 	case a.failures > 0:
 		return "does not answer"
 	case a.host.Leaving:
--- a/scheduler/gate_test.go
+++ b/scheduler/gate_test.go
@@ -12,7 +12,7 @@
 
 // gate wraps the external calls of one scheduler. While it is blocked, calls
 // neither leave nor return, as if the process was stopped between two steps.
-// Calls that were decided on before are sent when it is unblocked.
+// Calls made meanwhile are sent when it is unblocked.
 type gate struct {
 	log     *imitator.LogClient
 	workers *imitator.FleetClient
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -16,11 +16,12 @@
 	// throttleRatio is the ratio of a service's tail latency to its baseline
 	// above which batch tasks are throttled.
 	throttleRatio = 1.15
-	// loosenRatio is the ratio below which throttles are loosened: doubling the
-	// excess over the baseline then stays below throttleRatio.
+	// loosenRatio is the ratio below which throttles are loosened. Loosening
+	// doubles the processors of the throttled tasks; if that doubles the excess
+	// over the baseline, the ratio still stays below throttleRatio.
 	loosenRatio = 1 + (throttleRatio-1)/2
-	// minInterferenceShare is the share of the highest interference from which on
-	// another task is throttled too.
+	// minInterferenceShare is the fraction of the highest interference on a worker
+	// that another task must reach to be throttled too.
 	minInterferenceShare = 0.5
 	// reportsToLoosen is the number of consecutive reports below loosenRatio
 	// before throttles are loosened.
@@ -43,15 +44,15 @@
 	pendingEvictions []briarspring.AttemptID // Chosen but not yet in a batch.
 }
 
-// workerInterference holds the recent compositions of a worker and its reports
-// below loosenRatio in a row.
+// workerInterference holds the recent compositions of a worker and the number of
+// its consecutive reports below loosenRatio.
 type workerInterference struct {
 	history      []composition
 	reportsBelow int
 }
 
-// composition holds the batch tasks that ran on a worker from a clock reading
-// on.
+// composition holds the batch tasks that ran on a worker, starting at a reading
+// of its clock.
 type composition struct {
 	clock time.Duration
 	batch []learner.Colocated
@@ -130,7 +131,7 @@
 	return batch
 }
 
-// addComposition stores the batch tasks that run from a clock reading on.
+// addComposition stores the batch tasks that run as of a clock reading.
 func (w *workerInterference) addComposition(clock time.Duration, batch []learner.Colocated) {
 	w.history = append(w.history, composition{clock: clock, batch: batch})
 	if len(w.history) > maxCompositions {
@@ -208,8 +209,8 @@
 }
 
 // tightenThrottles halves the processors of the tasks that interfere most. If
-// the first of them is at the lowest throttle then, it is evicted, as far as the
-// rate limit on evictions allows.
+// the first of them is at the lowest throttle afterwards, it is evicted, unless
+// the rate limit on evictions is exhausted.
 func (s *Scheduler) tightenThrottles(a *agent, ratio float64) {
 	attempts, interference := s.batchByInterference(a)
 	for _, attempt := range attempts {
@@ -220,7 +221,7 @@
 		s.interference.throttles[attempt] = percent / 2
 		s.recordDecision(Decision{
 			Kind: "throttle", Attempt: attempt, Worker: a.host.Name,
-			Reason: "a service beside it answers slowly", LatencyRatio: ratio,
+			Reason: "a service on the same worker answers slowly", LatencyRatio: ratio,
 		})
 	}
 	if s.interference.limiter == nil {
@@ -259,7 +260,7 @@
 		if t == nil || t.Evicting() {
 			continue
 		}
-		events = append(events, s.evictIntent(s.placement.Workload(attempt.Task.Workload), t, "slows a service beside it"))
+		events = append(events, s.evictIntent(s.placement.Workload(attempt.Task.Workload), t, "slows a service on the same worker"))
 	}
 	s.interference.pendingEvictions = nil
 	return events
--- a/scheduler/history_actions_test.go
+++ b/scheduler/history_actions_test.go
@@ -32,28 +32,28 @@
 		g.block()
 		h.after(a.Length, g.unblock)
 	case "cut-log":
-		h.changeLog(a.Length, func(f *imitator.LogFaults) { f.CutCallers = with(f.CutCallers, name) },
+		h.injectLogFault(a.Length, func(f *imitator.LogFaults) { f.CutCallers = with(f.CutCallers, name) },
 			func(f *imitator.LogFaults) { f.CutCallers = without(f.CutCallers, name) })
 	case "log-outage":
-		h.changeLog(a.Length, func(f *imitator.LogFaults) { f.Down = true }, func(f *imitator.LogFaults) { f.Down = false })
+		h.injectLogFault(a.Length, func(f *imitator.LogFaults) { f.Down = true }, func(f *imitator.LogFaults) { f.Down = false })
 	case "log-slow":
-		h.changeLog(a.Length, func(f *imitator.LogFaults) { f.Latency = 1500 * time.Millisecond },
+		h.injectLogFault(a.Length, func(f *imitator.LogFaults) { f.Latency = 1500 * time.Millisecond },
 			func(f *imitator.LogFaults) { f.Latency = 5 * time.Millisecond })
 	case "lose-answers":
-		h.changeLog(a.Length, func(f *imitator.LogFaults) { f.LoseAnswers = 0.5 }, func(f *imitator.LogFaults) { f.LoseAnswers = 0 })
+		h.injectLogFault(a.Length, func(f *imitator.LogFaults) { f.LoseAnswers = 0.5 }, func(f *imitator.LogFaults) { f.LoseAnswers = 0 })
 	case "cut-workers":
 		own := h.fleets[dataCentreOf(name)]
-		changeFleet(h, own, a.Length, func(f *imitator.FleetFaults) { f.CutCallers = with(f.CutCallers, name) },
+		injectFleetFault(h, own, a.Length, func(f *imitator.FleetFaults) { f.CutCallers = with(f.CutCallers, name) },
 			func(f *imitator.FleetFaults) { f.CutCallers = without(f.CutCallers, name) })
 	case "lose-worker-answers":
-		changeFleet(h, fleet, a.Length, func(f *imitator.FleetFaults) { f.LoseAnswers = 0.4 },
+		injectFleetFault(h, fleet, a.Length, func(f *imitator.FleetFaults) { f.LoseAnswers = 0.4 },
 			func(f *imitator.FleetFaults) { f.LoseAnswers = 0 })
 	case "delay-calls":
-		changeFleet(h, fleet, a.Length, func(f *imitator.FleetFaults) { f.DelayedCalls, f.Delay = 0.3, a.Length },
+		injectFleetFault(h, fleet, a.Length, func(f *imitator.FleetFaults) { f.DelayedCalls, f.Delay = 0.3, a.Length },
 			func(f *imitator.FleetFaults) { f.DelayedCalls = 0 })
 	case "cut-worker":
 		w := workers[a.Target%len(workers)]
-		changeFleet(h, fleet, a.Length, func(f *imitator.FleetFaults) { f.CutWorkers = with(f.CutWorkers, w) },
+		injectFleetFault(h, fleet, a.Length, func(f *imitator.FleetFaults) { f.CutWorkers = with(f.CutWorkers, w) },
 			func(f *imitator.FleetFaults) { f.CutWorkers = without(f.CutWorkers, w) })
 	case "kill-worker":
 		h.killWorker(dataCentre, workers[a.Target%len(workers)])
@@ -70,7 +70,7 @@
 	case "cut-place-take-out":
 		h.createJob(uint32(8 + a.Target))
 		for _, name := range h.schedulersOf(dataCentre) {
-			h.changeLog(a.Length, func(f *imitator.LogFaults) { f.CutCallers = with(f.CutCallers, name) },
+			h.injectLogFault(a.Length, func(f *imitator.LogFaults) { f.CutCallers = with(f.CutCallers, name) },
 				func(f *imitator.LogFaults) { f.CutCallers = without(f.CutCallers, name) })
 		}
 		h.takeOut(dataCentre, a.Length)
@@ -102,7 +102,7 @@
 	}
 }
 
-func (h *history) changeLog(d time.Duration, inject, remove func(*imitator.LogFaults)) {
+func (h *history) injectLogFault(d time.Duration, inject, remove func(*imitator.LogFaults)) {
 	apply := func(f func(*imitator.LogFaults)) {
 		faults := h.log.Faults()
 		f(&faults)
@@ -112,7 +112,7 @@
 	h.after(d, func() { apply(remove) })
 }
 
-func changeFleet(h *history, fleet *imitator.Fleet, d time.Duration, inject, remove func(*imitator.FleetFaults)) {
+func injectFleetFault(h *history, fleet *imitator.Fleet, d time.Duration, inject, remove func(*imitator.FleetFaults)) {
 	apply := func(f func(*imitator.FleetFaults)) {
 		faults := fleet.Faults()
 		f(&faults)
--- a/scheduler/history_test.go
+++ b/scheduler/history_test.go
@@ -57,8 +57,9 @@
 const historyShards = 16
 
 // TestHistories runs random histories of work, failures and crashes on two data
-// centres with two schedulers each, and checks the journal that the workers wrote.
-// To run more: go test ./scheduler -run TestHistories -histories 20000 -first-seed 5000.
+// centres with two schedulers each, and checks the journal that the workers
+// wrote. To run more:
+// go test ./scheduler -run TestHistories -histories 20000 -first-seed 5000
 func TestHistories(t *testing.T) {
 	for shard := range historyShards {
 		t.Run(fmt.Sprintf("shard %d", shard), func(t *testing.T) {
--- a/scheduler/journal_test.go
+++ b/scheduler/journal_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// handleLeaseEnd marks the ends on a worker as possibly unreported. Once its lease
-// has ended, a task that is done can't be distinguished from a lost one, and
-// another attempt is allowed.
+// handleLeaseEnd marks the ends on a worker as possibly unreported. Once its
+// lease has ended, a task that is done can't be distinguished from a lost one,
+// and another attempt is allowed.
 func (c *journalChecker) handleLeaseEnd(worker string) {
 	for task, on := range c.doneOn {
 		if on == worker {
@@ -105,7 +105,7 @@
 		c.problem("%s: worker %s has %s of %s committed", e.Time, e.Worker, c.committed[e.Worker], e.Capacity)
 	}
 	if other, runs := c.running[task]; runs {
-		c.problem("%s: %s on %s and %s on %s run at once", e.Time, other.Attempt, other.Worker, e.Attempt, e.Worker)
+		c.problem("%s: %s on %s and %s on %s run at the same time", e.Time, other.Attempt, other.Worker, e.Attempt, e.Worker)
 	}
 	if c.doneOn[task] != "" {
 		c.problem("%s: %s started again after it was done", e.Time, e.Attempt)
--- a/scheduler/promise_test.go
+++ b/scheduler/promise_test.go
@@ -40,7 +40,8 @@
 	return cl
 }
 
-// owner returns the scheduler that owns a data centre, and another one.
+// owner returns the names of the scheduler that owns a data centre and of the
+// other scheduler there.
 func (cl *cluster) owner(dataCentre string) (owner, other string) {
 	first, second := dataCentre+"-s0", dataCentre+"-s1"
 	if cl.schedulers[first].IsOwner() {
@@ -50,7 +51,7 @@
 	return second, first
 }
 
-// starts returns how many attempts the workers have started of a workload.
+// starts returns the number of attempts of a workload that workers have started.
 func (cl *cluster) starts(name string) int {
 	n := 0
 	for _, e := range cl.journal.Entries() {
@@ -73,7 +74,7 @@
 }
 
 func TestTakeover(t *testing.T) {
-	const bound = 5 * time.Second // From kill -9 to the first new start.
+	const bound = 5 * time.Second // From the owner's crash to the first new start.
 	synctest.Test(t, func(t *testing.T) {
 		cl := newPair(t, imitator.LogConfig{AppendsPerSecond: 300}, 3, "tartu")
 		owner, other := cl.owner("tartu")
@@ -137,7 +138,7 @@
 		}},
 		{"starts delayed on their way", func(cl *cluster, _ map[string]*gate) func() {
 			cl.fleets["voru"].SetFaults(imitator.FleetFaults{DelayedCalls: 1, Delay: 6 * time.Second})
-			time.Sleep(1500 * time.Millisecond) // Starts are under way when the record is accepted.
+			time.Sleep(1500 * time.Millisecond) // Lets starts be in transit when the record is accepted.
 			return func() { cl.fleets["voru"].SetFaults(imitator.FleetFaults{}) }
 		}},
 	}
@@ -227,7 +228,7 @@
 			name := names[round%len(names)]
 			cl.kill(name)
 			if round == 6 {
-				// An outage in the middle; the process starts while it lasts.
+				// The log goes down halfway through, and the process starts meanwhile.
 				cl.log.SetFaults(imitator.LogFaults{Down: true})
 				time.AfterFunc(8*time.Second, func() { cl.log.SetFaults(imitator.LogFaults{Latency: 5 * time.Millisecond}) })
 			}
@@ -270,7 +271,7 @@
 		cl.log.SetFaults(imitator.LogFaults{Latency: 5 * time.Millisecond, LoseAnswers: 0.3})
 		names := []string{"tartu-s0", "tartu-s1", "voru-s0", "voru-s1"}
 		var mu sync.Mutex
-		accepted := map[uint64]uint32{first.Version: 1} // Executors by version.
+		accepted := map[uint64]uint32{first.Version: 1} // Number of executors by version.
 		refused := 0
 		var race sync.WaitGroup
 		for w := range writers {
@@ -403,8 +404,8 @@
 	})
 }
 
-// TestCrashAtEachStep kills the owner at moments that lie closer together than
-// the steps of an eviction and of the start that follows it.
+// TestCrashAtEachStep kills the owner at points in time that are closer together
+// than the steps of an eviction and the start that follows it.
 func TestCrashAtEachStep(t *testing.T) {
 	const moments, apart = 60, 6 * time.Millisecond
 	for i := range moments {
@@ -458,8 +459,8 @@
 	})
 }
 
-// TestExecutorsReturn checks that a data centre that returns gets executors
-// again, one at a time.
+// TestExecutorsReturn checks that a data centre that is back in service gets its
+// share of the executors again.
 func TestExecutorsReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newPair(t, imitator.LogConfig{AppendsPerSecond: 300}, 3, "tartu", "voru")
--- a/scheduler/quarantine.go
+++ b/scheduler/quarantine.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// A worker with this many failures in a row, of this many workloads, is
-	// quarantined.
+	// A worker is quarantined after minFailures failures in a row, if they come
+	// from at least minFailedWorkloads workloads.
 	minFailures        = 3
 	minFailedWorkloads = 2
 	firstQuarantine    = 30 * time.Second
@@ -66,7 +66,7 @@
 	delete(q.avoid, id)
 }
 
-// isSuspect reports whether failures on the worker are taken for its own fault.
+// isSuspect reports whether failures on the worker count as the worker's fault.
 func (q *quarantine) isSuspect(worker uint32) bool {
 	w := q.workers[worker]
 	return w != nil && w.probing
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -28,7 +28,7 @@
 
 // jobQueue holds the waiting tasks of one job.
 type jobQueue struct {
-	load         *applier.AdoptedWorkload
+	workload     *applier.AdoptedWorkload
 	job          *briarspring.Job
 	waiting      []briarspring.TaskState
 	heldMilliCPU int64 // Processors committed to its open attempts.
@@ -60,7 +60,7 @@
 		t.used = t.used.Add(l.Resources().Times(int64(l.Placed())))
 		if l.Waiting() > 0 {
 			t.jobs = append(t.jobs, &jobQueue{
-				load: l, job: c.Job(), heldMilliCPU: l.Resources().MilliCPU() * int64(l.Placed()),
+				workload: l, job: c.Job(), heldMilliCPU: l.Resources().MilliCPU() * int64(l.Placed()),
 				probe: s.waiting.mayProbe(id, now, l.Placed()),
 			})
 		}
@@ -167,7 +167,7 @@
 		if j.blocked {
 			continue
 		}
-		share := float64(j.heldMilliCPU+j.load.Resources().MilliCPU()) / float64(j.job.Weight())
+		share := float64(j.heldMilliCPU+j.workload.Resources().MilliCPU()) / float64(j.job.Weight())
 		if best == nil || share < lowest {
 			best, lowest = j, share
 		}
@@ -178,22 +178,22 @@
 // placeJobTask places one task of a job and reports whether it starts.
 func (q *queue) placeJobTask(round *placer.Round, t *teamQueue, j *jobQueue) bool {
 	if j.waiting == nil {
-		j.waiting = q.readyTasks(j.load)
+		j.waiting = q.readyTasks(j.workload)
 	}
 	if len(j.waiting) == 0 {
 		j.blocked = true
 		return false
 	}
-	need := j.load.Resources()
+	need := j.workload.Resources()
 	if t.quota != nil && !t.used.Add(need).Fits(*t.quota) {
 		j.blocked = true
-		q.scheduler.waiting.record(j.load.ID(), fmt.Sprintf("team %s holds %s of its quota %s here", t.name, t.used, *t.quota))
+		q.scheduler.waiting.record(j.workload.ID(), fmt.Sprintf("team %s uses %s of its quota of %s in this data centre", t.name, t.used, *t.quota))
 		return false
 	}
 	task := placer.Task{
-		State: j.waiting[0], Workload: j.load.ID(), Name: j.job.Name(), Class: j.job.Class(),
+		State: j.waiting[0], Workload: j.workload.ID(), Name: j.job.Name(), Class: j.job.Class(),
 		Resources: need, Weight: j.job.Weight(), Probe: j.probe,
-		Avoid: q.scheduler.quarantine.avoid[briarspring.TaskID{Workload: j.load.ID(), Index: j.waiting[0].Index}],
+		Avoid: q.scheduler.quarantine.avoid[briarspring.TaskID{Workload: j.workload.ID(), Index: j.waiting[0].Index}],
 	}
 	if !round.Place(task) {
 		j.blocked = true
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -69,7 +69,8 @@
 	return s.cancelUnassigned(w, l)
 }
 
-// retireEvents cancels the remaining tasks of a finished workload, then removes it.
+// retireEvents cancels the remaining tasks of a finished workload, then removes
+// the workload.
 func (s *Scheduler) retireEvents(id briarspring.WorkloadID, l *applier.AdoptedWorkload) []briarspring.Event {
 	if l == nil {
 		return nil
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -83,7 +83,8 @@
 		case known && r.Address != "" && t.Address() != r.Address:
 			events = append(events, briarspring.Ready{Attempt: attempt, Address: r.Address})
 		case !known && (t.Evicting() || t.Cancelled()) && a.report.Clock > a.notAfter[attempt]:
-			// The worker never started it, and a start still in flight is too late.
+			// The worker never started it, and it will refuse a start that is still
+			// in flight, since the latest start time has passed.
 			events = append(events, briarspring.End{Attempt: attempt, Reason: briarspring.EndNotStarted})
 		}
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -248,7 +248,7 @@
 	s.changed = make(chan struct{})
 }
 
-// step runs the tasks that are due for an owner or a follower.
+// step does the work that is due, as owner or as follower.
 func (s *Scheduler) step(ctx context.Context, wg *sync.WaitGroup) {
 	if !s.ensureCommitters(ctx, wg) {
 		return
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// maxSnapshotDelay bounds the delay by which processes take turns, so that
-	// only the first of them writes a snapshot.
+	// maxSnapshotDelay bounds the delay before a due snapshot is written. The
+	// delay depends on the process's name, so that usually only one process
+	// writes the snapshot.
 	maxSnapshotDelay = 2 * time.Second
 )
 
--- a/scheduler/spread.go
+++ b/scheduler/spread.go
@@ -15,7 +15,7 @@
 
 // spreadEvents moves executors, one of each service at a time, to a data centre
 // that holds fewer, such as one that is back in service. The executor is evicted
-// first; moveReleaseEvents releases its task once that waits again.
+// first; moveReleaseEvents releases its task once the task waits again.
 func (s *Scheduler) spreadEvents() []briarspring.Event {
 	var events []briarspring.Event
 	for _, id := range s.placement.Workloads() {
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// summaryRepeatInterval is the time after which an unchanged summary is repeated.
+	// summaryRepeatInterval is the time after which an unchanged summary is
+	// repeated.
 	summaryRepeatInterval = 10 * time.Second
 	// maxSummaryProgress limits the workloads with progress in one summary.
 	maxSummaryProgress = 2000
--- a/scheduler/transfer.go
+++ b/scheduler/transfer.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	var events []briarspring.Event
-	for i, id := range s.loadsByWeight() {
+	for i, id := range s.workloadsByWeight() {
 		l := s.placement.Workload(id)
 		if len(events) >= maxBatchEvents {
 			break
@@ -60,9 +60,9 @@
 	return d.Summary().Capacity.Sub(d.Summary().Committed).MilliCPU()
 }
 
-// loadsByWeight returns the workloads held here, services first, then jobs by
+// workloadsByWeight returns the workloads held here, services first, then jobs by
 // descending weight.
-func (s *Scheduler) loadsByWeight() []briarspring.WorkloadID {
+func (s *Scheduler) workloadsByWeight() []briarspring.WorkloadID {
 	ids := s.placement.Workloads()
 	slices.SortStableFunc(ids, func(a, b briarspring.WorkloadID) int {
 		return int(s.weight(b)) - int(s.weight(a))
@@ -131,7 +131,7 @@
 		return nil
 	}
 	events := s.spreadEvents()
-	for _, id := range s.loadsByWeight() {
+	for _, id := range s.workloadsByWeight() {
 		l := s.placement.Workload(id)
 		if l.Waiting() == 0 || s.hasPendingMove(id) || !s.waiting.blockedWithin(id, now, 2*s.config.SummaryInterval) {
 			continue
--- a/steward/commit.go
+++ b/steward/commit.go
@@ -133,8 +133,8 @@
 	ow.publishRebuilt(ctx, func() []briarspring.KeyedRecord { return records })
 }
 
-// publishRebuilt writes records and retries until they are stored, rebuilding them
-// for each attempt.
+// publishRebuilt writes records and retries until they are stored, rebuilding
+// them for each attempt.
 func (ow *ownership) publishRebuilt(ctx context.Context, build func() []briarspring.KeyedRecord) {
 	for ctx.Err() == nil {
 		records := build()
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -97,19 +97,20 @@
 }
 
 const (
-	// heartbeatInterval is a quarter of the silence after which others may claim.
+	// heartbeatInterval fits four times into the shortest silence after which
+	// another host may claim.
 	heartbeatInterval = 400 * time.Millisecond
 	// claimCheckInterval is the time between two checks whether to claim.
 	claimCheckInterval = 50 * time.Millisecond
 	// readGapAge is the age of the last read above which the log counts as having
 	// been unreadable. It exceeds the wait of a read with a slow answer.
 	readGapAge = 1600 * time.Millisecond
-	// maxUnreachable is how long an owner continues without the log; outages of up
-	// to 9 s occur. A successor waits as long before it assumes that the owner
-	// has stopped.
+	// maxUnreachable is how long an owner continues without the log; outages of
+	// up to 9 s occur. A successor waits just as long before it assumes that the
+	// owner has stopped.
 	maxUnreachable = 12 * time.Second
-	// largerHostRatio is the ratio of processors from which ownership is left to the
-	// larger hosts. An owner of 116 workers uses up to 0.66 of a core.
+	// largerHostRatio is the ratio of processors above which ownership is left to
+	// the larger host. An owner of 116 workers uses up to 0.66 of a core.
 	largerHostRatio = 3
 	// writeTimeout bounds one write of a claim, a retirement, a heartbeat or phases.
 	writeTimeout = 1500 * time.Millisecond
@@ -254,8 +255,8 @@
 	o.writeClaim(ctx, o.config.Host, state.Token)
 }
 
-// writeClaim appends a claim to the shared stream, with more records before it.
-// An empty owner releases the data centre.
+// writeClaim writes the additional records, followed by a claim, to the shared
+// stream. An empty owner releases the data centre.
 func (o *Owner) writeClaim(ctx context.Context, owner string, previous uint64, more ...briarspring.KeyedRecord) {
 	c := briarspring.DataCentreClaim{
 		DataCentre: o.config.DataCentre, Previous: previous, Owner: owner, Incarnation: o.config.Incarnation,
@@ -318,7 +319,8 @@
 }
 
 // Runs returns the runs of a workflow that may be alive, or those of all
-// workflows if the ID is empty. It returns false if this process is not the owner.
+// workflows if the ID is empty. It returns false if this process is not the
+// owner.
 func (o *Owner) Runs(id briarspring.WorkflowID) (list []dispatcher.RunInfo, ok bool) {
 	ok = o.inspect(func(d *dispatcher.Dispatcher) { list = d.Runs(id) })
 	return list, ok
--- a/steward/term.go
+++ b/steward/term.go
@@ -49,7 +49,8 @@
 	// an outage of the log reappear: about 2 s according to the platform, plus a
 	// read of the list from a store that is still slow.
 	entryReturnTime = 2750 * time.Millisecond
-	// modelExchangeInterval is the time between two exchanges of interference models.
+	// modelExchangeInterval is the time between two exchanges of interference
+	// models.
 	modelExchangeInterval = 2 * time.Second
 	// maxExpiredPerHeartbeat bounds the finished workflows that one heartbeat
 	// deletes.
