--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -221,7 +221,7 @@
 		s.interference.throttles[attempt] = percent / 2
 		s.recordDecision(Decision{
 			Kind: "throttle", Attempt: attempt, Worker: a.host.Name,
-			Reason: "a service on the same worker answers slowly", LatencyRatio: ratio,
+			Reason: "a service beside it answers slowly", LatencyRatio: ratio,
 		})
 	}
 	if s.interference.limiter == nil {
