--- a/applier/chunk.go
+++ b/applier/chunk.go
@@ -11,7 +11,8 @@
 // maxChunks bounds the memory for the chunks of one snapshot.
 const maxChunks = 4096
 
-// Chunks splits the snapshot up to the offset covers into record bodies.
+// Chunks splits a snapshot into record bodies; covers is the offset of the last
+// record that the snapshot includes.
 func Chunks(covers uint64, data []byte) []briarspring.SnapshotChunk {
 	sum := encoder.Checksum(data)
 	count := uint32((len(data) + ChunkSize - 1) / ChunkSize)
--- a/applier/event.go
+++ b/applier/event.go
@@ -133,7 +133,7 @@
 // loseTasks ends every open attempt on a worker with EndLost.
 func (p *Placement) loseTasks(w *Worker) {
 	for _, id := range w.Tasks() {
-		l := p.loads[id.Workload]
+		l := p.adopted[id.Workload]
 		p.closeAttempt(l, l.tasks[id.Index], briarspring.EndLost, 0)
 	}
 }
@@ -143,15 +143,15 @@
 		return newVoidError(e, "the writer had read the configuration up to %d, not %d", e.Seen, p.minSeen)
 	}
 	if !(briarspring.Resources{}).Fits(e.Resources) {
-		return newVoidError(e, "a task needs %s", e.Resources)
+		return newVoidError(e, "negative resource needs: %s", e.Resources)
 	}
-	l := p.loads[e.Workload]
+	l := p.adopted[e.Workload]
 	if l == nil {
 		l = &AdoptedWorkload{
 			id: e.Workload, resources: e.Resources, service: e.Service, maxTries: e.MaxTries,
 			tasks: map[uint32]*Task{}, waiting: map[uint32]struct{}{},
 		}
-		p.loads[e.Workload] = l
+		p.adopted[e.Workload] = l
 	}
 	if e.Offset <= l.offset {
 		return newVoidError(e, "offset %d was already adopted", e.Offset)
@@ -186,7 +186,7 @@
 	aw.requeue(t)
 }
 
-// requeue makes a task requeue for an attempt again.
+// requeue makes a task wait for a new attempt.
 func (aw *AdoptedWorkload) requeue(t *Task) {
 	if t.phase == PhaseReleased {
 		aw.released--
@@ -200,7 +200,7 @@
 }
 
 func (p *Placement) applyStart(e briarspring.Start) error {
-	l := p.loads[e.Attempt.Task.Workload]
+	l := p.adopted[e.Attempt.Task.Workload]
 	if l == nil {
 		return newVoidError(e, "workload %d is not adopted here", e.Attempt.Task.Workload)
 	}
@@ -265,7 +265,7 @@
 	if t == nil {
 		return newVoidError(e, "attempt %s is not open", e.Attempt)
 	}
-	p.closeAttempt(p.loads[e.Attempt.Task.Workload], t, e.Reason, e.Checkpoint)
+	p.closeAttempt(p.adopted[e.Attempt.Task.Workload], t, e.Reason, e.Checkpoint)
 	return nil
 }
 
@@ -302,7 +302,7 @@
 }
 
 func (p *Placement) applyRelease(e briarspring.Release) error {
-	l := p.loads[e.Workload]
+	l := p.adopted[e.Workload]
 	if l == nil {
 		return newVoidError(e, "workload %d is not adopted here", e.Workload)
 	}
@@ -326,14 +326,14 @@
 	return nil
 }
 
-// isWaiting reports whether a task isWaiting for an attempt.
+// isWaiting reports whether a task waits for an attempt.
 func (aw *AdoptedWorkload) isWaiting(index uint32) bool {
 	_, waits := aw.waiting[index]
 	return waits || aw.fresh.find(index) >= 0
 }
 
 func (p *Placement) applyCancel(e briarspring.Cancel) error {
-	l := p.loads[e.Workload]
+	l := p.adopted[e.Workload]
 	if l == nil {
 		return newVoidError(e, "workload %d is not adopted here", e.Workload)
 	}
@@ -357,14 +357,14 @@
 }
 
 func (p *Placement) applyForget(e briarspring.Forget) error {
-	l := p.loads[e.Workload]
+	l := p.adopted[e.Workload]
 	if l == nil {
 		return newVoidError(e, "workload %d is not adopted here", e.Workload)
 	}
 	if l.placed > 0 || l.Waiting() > 0 {
 		return newVoidError(e, "workload %d has %d open attempts and %d waiting tasks", e.Workload, l.placed, l.Waiting())
 	}
-	delete(p.loads, e.Workload)
+	delete(p.adopted, e.Workload)
 	p.minSeen = max(p.minSeen, e.Seen)
 	return nil
 }
--- a/applier/placement.go
+++ b/applier/placement.go
@@ -230,7 +230,7 @@
 	minSeen  uint64 // Configuration offset up to which a writer must have read to adopt tasks.
 	workers  []*Worker
 	byName   map[string]*Worker
-	loads    map[briarspring.WorkloadID]*AdoptedWorkload
+	adopted  map[briarspring.WorkloadID]*AdoptedWorkload
 	counts   Counts
 }
 
@@ -247,7 +247,7 @@
 	return &Placement{
 		writers: writers{},
 		byName:  map[string]*Worker{},
-		loads:   map[briarspring.WorkloadID]*AdoptedWorkload{},
+		adopted: map[briarspring.WorkloadID]*AdoptedWorkload{},
 	}
 }
 
@@ -287,14 +287,14 @@
 func (p *Placement) WorkerByName(name string) *Worker { return p.byName[name] }
 
 // Workload returns the adopted part of a workload, or nil.
-func (p *Placement) Workload(id briarspring.WorkloadID) *AdoptedWorkload { return p.loads[id] }
+func (p *Placement) Workload(id briarspring.WorkloadID) *AdoptedWorkload { return p.adopted[id] }
 
 // Workloads returns the sorted ids of all adopted workloads.
-func (p *Placement) Workloads() []briarspring.WorkloadID { return sortedKeys(p.loads) }
+func (p *Placement) Workloads() []briarspring.WorkloadID { return sortedKeys(p.adopted) }
 
 // Task returns a task that is not fresh, or nil.
 func (p *Placement) Task(id briarspring.TaskID) *Task {
-	l := p.loads[id.Workload]
+	l := p.adopted[id.Workload]
 	if l == nil {
 		return nil
 	}
--- a/applier/snapshot_placement.go
+++ b/applier/snapshot_placement.go
@@ -22,13 +22,13 @@
 			Capacity: encoder.EncodeResources(w.capacity), Gone: w.gone, Declared: w.declaredLostAt,
 		})
 	}
-	for _, id := range sortedKeys(p.loads) {
-		m.Workloads = append(m.Workloads, encodeLoad(p.loads[id]))
+	for _, id := range sortedKeys(p.adopted) {
+		m.Workloads = append(m.Workloads, encodeAdopted(p.adopted[id]))
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m)
 }
 
-func encodeLoad(l *AdoptedWorkload) *pb.PlacementSnapshot_Workload {
+func encodeAdopted(l *AdoptedWorkload) *pb.PlacementSnapshot_Workload {
 	m := &pb.PlacementSnapshot_Workload{
 		Id: uint64(l.id), Offset: l.offset, Resources: encoder.EncodeResources(l.resources),
 		Service: l.service, MaxTries: l.maxTries, Done: l.done, Failed: l.failed, Evictions: l.evictions,
@@ -70,14 +70,14 @@
 		p.byName[w.name] = w
 	}
 	for _, lm := range m.GetWorkloads() {
-		if err := p.restoreLoad(lm); err != nil {
+		if err := p.restoreAdopted(lm); err != nil {
 			return nil, &encoder.MalformedError{Input: "placement snapshot", Cause: err}
 		}
 	}
 	return p, nil
 }
 
-func (p *Placement) restoreLoad(m *pb.PlacementSnapshot_Workload) error {
+func (p *Placement) restoreAdopted(m *pb.PlacementSnapshot_Workload) error {
 	l := &AdoptedWorkload{
 		id: briarspring.WorkloadID(m.GetId()), offset: m.GetOffset(),
 		resources: encoder.DecodeResources(m.GetResources()), service: m.GetService(), maxTries: m.GetMaxTries(),
@@ -97,7 +97,7 @@
 			return err
 		}
 	}
-	p.loads[l.id] = l
+	p.adopted[l.id] = l
 	return nil
 }
 
--- a/applier/workload.go
+++ b/applier/workload.go
@@ -146,11 +146,11 @@
 
 // Has reports whether a task is in the set, and returns the offset of the record
 // that assigned it.
-func (h AssignedTasks) Has(index uint32) (offset uint64, ok bool) {
-	if offset, ok = h.tasks[index]; ok {
+func (a AssignedTasks) Has(index uint32) (offset uint64, ok bool) {
+	if offset, ok = a.tasks[index]; ok {
 		return offset, true
 	}
-	for _, s := range h.ranges {
+	for _, s := range a.ranges {
 		if s.Span.First <= index && index < s.Span.End {
 			return s.Offset, true
 		}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -13,7 +13,7 @@
 
 const (
 	// homeBonus, in seconds of backlog, favours the data centre that received a
-	// workflow, so that small differences cause no transfers.
+	// workflow, so that small differences cause no traffic between data centres.
 	homeBonus = 0.6
 	// maxSilence is the age of an owner's heartbeat above which its data
 	// centre gets no workflows while others are available.
@@ -25,8 +25,9 @@
 	// homeIdleBonus, in thousandths of a core, favours the data centre that
 	// received a workflow over others with as many idle cores for its image.
 	homeIdleBonus = 20000
-	// freeFactor is the ratio of free cores to the cores needed from which a data
-	// centre counts as having enough: other tasks may take some meanwhile.
+	// freeFactor is the ratio of free to needed cores from which a new workflow
+	// stays in the home data centre, and a waiting task may go to another one:
+	// other tasks may take some of the cores meanwhile.
 	freeFactor = 2
 )
 
@@ -36,9 +37,9 @@
 	OutOfService bool             // Taken out of service by operators.
 	Owned        bool             // It has an owner.
 	HeartbeatAge time.Duration    // Age of the owner's last heartbeat.
-	Backlog      float64          // Seconds of work that waits, for all its cores.
+	Backlog      float64          // Seconds that all its cores need for the waiting work.
 	Free         int64            // Thousandths of a core that are not reserved.
-	LargestFree  int64            // Free thousandths of a core on the worker with most of them.
+	LargestFree  int64            // Free thousandths of a core on the worker with the most.
 	Total        int64            // Thousandths of a core in total.
 	LongRunning  int64            // Thousandths of a core reserved by accepted long-running workflows.
 	IdleByImage  map[string]int64 // Idle thousandths of a core that best-effort tasks could use, by image.
@@ -47,7 +48,7 @@
 // available reports whether the data centre can run workflows now.
 func (o *Option) available() bool { return !o.OutOfService && o.Owned && o.HeartbeatAge <= maxSilence }
 
-// Catalogue knows which data centres are out of service.
+// Catalogue reports which data centres are out of service.
 type Catalogue interface {
 	OutOfService(dataCentre string) bool
 }
@@ -93,9 +94,10 @@
 	return chooseLeastBacklog(home, options)
 }
 
-// chooseReserved returns the home data centre if it has enough free cores for the
-// first step, else the one with most free cores, or "" if none has enough. It
-// keeps urgent workflows out of a data centre full of long-running tasks.
+// chooseReserved returns the home data centre if it has freeFactor times the
+// cores that the first step needs, else the one with most free cores of those
+// that have enough for it, or "" if there is none. It keeps urgent workflows out
+// of a data centre full of long-running tasks.
 func chooseReserved(home string, s *briarspring.Step, options []Option) string {
 	need := int64(s.Tasks) * s.Resources.MilliCPU()
 	best, bestFree := "", int64(0)
--- a/encoder/workflow.go
+++ b/encoder/workflow.go
@@ -12,8 +12,8 @@
 	pb "briarspring/gen/briarspring/v1"
 )
 
-// EncodeSubmission encodes an accepted workflow, without its ID, which is the
-// key of the record.
+// EncodeSubmission encodes an accepted workflow without its ID, which the key of
+// the record contains.
 func EncodeSubmission(w *briarspring.Workflow) ([]byte, error) {
 	m := &pb.Submission{
 		Queue: w.Queue, Service: w.Service, Specification: w.Specification,
--- a/forwarder/limits.go
+++ b/forwarder/limits.go
@@ -127,8 +127,7 @@
 	return hex.EncodeToString(b)
 }
 
-// newID returns an ID for a request whose own ID is missing or too
-// long.
+// newID returns an ID for a request whose own ID is missing or too long.
 func (f *Forwarder) newID() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/header.go
+++ b/header.go
@@ -22,7 +22,7 @@
 
 // The outcomes of a request.
 const (
-	OutcomeServed  Outcome = "served"  // The response is the upstream's, complete.
+	OutcomeServed  Outcome = "served"  // The upstream's complete response follows.
 	OutcomeNotRun  Outcome = "not-run" // No upstream has run the request or will run it.
 	OutcomeUnknown Outcome = "unknown" // The request may have run.
 )
--- a/stream.go
+++ b/stream.go
@@ -4,8 +4,8 @@
 
 // Names of the keyed streams that hosts share.
 const (
-	// SharedStream holds submissions, cancellations, phases, claims and
-	// heartbeats.
+	// SharedStream holds the records on workflows, owners and hosts, such as
+	// submissions, phases, claims and heartbeats.
 	SharedStream = "shared"
 	// DirectoryStream holds the operators' queues and the list of data centres
 	// out of service.
@@ -100,7 +100,7 @@
 // of an image suffer: how their tail latency depends on the tasks on the same
 // worker.
 type InterferenceModel struct {
-	Serving  string
+	Serving  string  // Image that suffers the interference.
 	Constant float64 // Tail latency without other tasks, as a share of the target.
 	Pairs    []InterferencePair
 }
--- a/tracker/tracker.go
+++ b/tracker/tracker.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// readOnce makes one read, or restores the state first.
+// readOnce makes one read, or restores the state if that is still to be done.
 func (t *Tracker) readOnce(ctx context.Context) error {
 	if !t.restored {
 		return t.restore(ctx)
--- a/workflow.go
+++ b/workflow.go
@@ -91,8 +91,8 @@
 	TailTarget   time.Duration // Target of the tail latency of long-running tasks.
 	Checkpoints  bool          // Tasks write checkpoints.
 	Speculative  bool          // Several runs of a task may run at the same time.
-	LongRunning  bool          // Long-running: the tasks run until the workflow is cancelled.
-	BestEffort   bool          // Best effort: the tasks use processors that others reserved and leave idle.
+	LongRunning  bool          // Tasks run until the workflow is cancelled.
+	BestEffort   bool          // Tasks use processors that others reserved and leave idle.
 	Gang         bool          // Tasks make progress only while all of them run, and end together.
 	OneRack      bool          // Tasks run faster if all of them are on one rack.
 	MaxMissing   int           // Tasks of a long-running step that may be stopped at once; zero for no limit.
