--- a/assembler/fleet_test.go
+++ b/assembler/fleet_test.go
@@ -67,9 +67,9 @@
 	return r
 }
 
-func workerEntry(id, centre string, cpu, born int64) briarspring.WorkerEntry {
+func workerEntry(id, centre string, cpu, startedAt int64) briarspring.WorkerEntry {
 	return briarspring.WorkerEntry{
-		ID: id, Address: id, Service: "ledger", DataCentre: centre, Rack: "r1", StartedAt: born,
+		ID: id, Address: id, Service: "ledger", DataCentre: centre, Rack: "r1", StartedAt: startedAt,
 		Capacity: briarspring.NewResources(briarspring.ResourcesConfig{MilliCPU: cpu, MemoryMiB: 64000}),
 	}
 }
--- a/assembler/gateway.go
+++ b/assembler/gateway.go
@@ -72,7 +72,7 @@
 func gatewayReadiness(f *forwarder.Forwarder) func() (bool, string) {
 	return func() (bool, string) {
 		if f.State().Updated.IsZero() {
-			return false, "no scheduler has told which services there are"
+			return false, "no scheduler has sent its state yet"
 		}
 		return true, ""
 	}
--- a/assembler/history_test.go
+++ b/assembler/history_test.go
@@ -115,8 +115,8 @@
 	"store-slow", "store-lossy", "store-forget", "late-orders", "crash-worker", "crash-worker", "out", "back", "cancel",
 }
 
-// allActionNames adds the actions that came after the seeds in regressions, whose
-// choices must not change.
+// allActionNames also has the actions that were added later. The seeds in
+// regressions run with actionNames, so that they still choose the same actions.
 var allActionNames = append(slices.Clone(actionNames), "power")
 
 const (
@@ -257,7 +257,7 @@
 		}
 	}
 	ok := h.submitRecurring(id, recurrence, steps...)
-	h.logf("submit %s accepted %t lasting %t occurrences %d", id, ok, steps[0].LongRunning, recurrence.Times)
+	h.logf("submit %s accepted %t long-running %t occurrences %d", id, ok, steps[0].LongRunning, recurrence.Times)
 	if ok {
 		h.accepted = append(h.accepted, id)
 	}
--- a/assembler/host.go
+++ b/assembler/host.go
@@ -65,15 +65,15 @@
 	// phases of workflows.
 	followerReadInterval = 200 * time.Millisecond
 	// directoryReadWait is how long a read waits for the operators' next change.
-	// With the call's timeout it stays below 3 s, after which a host that was cut
-	// off counts as reconnected.
+	// Together with the call's timeout it stays below 3 s: a host must have read
+	// the directory 3 s after a cut ends.
 	directoryReadWait = time.Second
 	// workersReadInterval is the minimum time between two reads of the list of
 	// workers, whose entries change every 1.5 s.
 	workersReadInterval = 250 * time.Millisecond
-	// defaultLease is the workers' lease. A successor of a lost owner renews it after
-	// about 3 s. Long-running tasks of a lost worker start elsewhere once it has
-	// expired.
+	// defaultLease is the workers' lease. It is longer than the 3 s or so until a
+	// successor of a lost owner renews it, and short because long-running tasks of
+	// a lost worker start elsewhere only when it has expired.
 	defaultLease = 5500 * time.Millisecond
 	// finalRetentionMargin is added to the time for which finished workflows are
 	// remembered, for hosts that read of the end later.
--- a/assembler/host_workflows_test.go
+++ b/assembler/host_workflows_test.go
@@ -194,10 +194,10 @@
 	}, tartu, viljandi)
 }
 
-// A host whose call was in flight when its link came back gets no answer until the
-// call times out.
+// A call that was in flight when a host was reconnected gets no answer until it
+// times out. The host must still read a change of the directory in time.
 func TestDirectoryAfterACut(t *testing.T) {
-	const inTouch = 3 * time.Second // After the end of a cut, as the platform states it.
+	const reconnectTime = 3 * time.Second // Time after a cut that the platform allows.
 	for phase := time.Duration(0); phase < 4*time.Second; phase += 250 * time.Millisecond {
 		inVirtualTime(t, phase.String(), func(t *testing.T, f *fleet) {
 			h := f.host(tartu, 0)
@@ -205,7 +205,7 @@
 			time.Sleep(4*time.Second + phase)
 			f.store.Put(briarspring.DirectoryStream, directoryRecord(t, 2))
 			f.cutOff(h, true, true, false)
-			time.Sleep(inTouch)
+			time.Sleep(reconnectTime)
 			_, _, err := h.intake.Find(testQueue.Host, "/added/")
 			assert.NoError(t, err)
 		}, tartu)
--- a/assembler/scheduler.go
+++ b/assembler/scheduler.go
@@ -88,7 +88,7 @@
 func readiness(engine *scheduler.Scheduler) func() (bool, string) {
 	return func() (bool, string) {
 		if !engine.Ready() {
-			return false, "the log was not read to its end yet"
+			return false, "the log has not been read to its end yet"
 		}
 		return true, ""
 	}
@@ -115,13 +115,13 @@
 	for _, c := range p.peers {
 		closeOnDone(ctx, c)
 	}
-	if !p.logAnswers(ctx) {
+	if !p.logReachable(ctx) {
 		p.restoreFromPeers(ctx)
 	}
 	p.Scheduler.Run(ctx)
 }
 
-func (p *schedulerPart) logAnswers(ctx context.Context) bool {
+func (p *schedulerPart) logReachable(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, startupReadTimeout)
 	defer cancel()
 	_, err := p.log.Read(ctx, briarspring.ConfigStream, 1, 1, 0)
--- a/assembler/status.go
+++ b/assembler/status.go
@@ -71,6 +71,6 @@
 			return
 		}
 		rw.Header().Set("Content-Type", "text/html; charset=utf-8")
-		rw.Write(page.Bytes()) //nolint:errcheck // The reader went away.
+		rw.Write(page.Bytes()) //nolint:errcheck // The client disconnected.
 	})
 }
--- a/cmd/briarload/main.go
+++ b/cmd/briarload/main.go
@@ -46,7 +46,7 @@
 }
 
 // Run generates the load and prints a table. It fails if an answer was wrong, or
-// if a request ran twice or though refused.
+// if a request ran twice or ran although it was refused.
 func (c *runCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -68,9 +68,9 @@
 		return err
 	}
 	doubled := generator.ImproperRuns(results, runs, c.Idempotent)
-	fmt.Printf("wrong answers %d, requests run twice or though refused %d\n", wrong, len(doubled))
+	fmt.Printf("wrong answers %d, requests run twice or despite a refusal %d\n", wrong, len(doubled))
 	if wrong > 0 || len(doubled) > 0 {
-		return fmt.Errorf("wrong answers, or requests run twice or though refused")
+		return fmt.Errorf("wrong answers, or requests run twice or despite a refusal")
 	}
 	return nil
 }
--- a/cmd/briarspring/dev.go
+++ b/cmd/briarspring/dev.go
@@ -56,7 +56,7 @@
 		fmt.Printf("%s: gateways %v, operators %v, status pages %v, hosts for workflows %v\n", p.Name, p.Gateways, p.Operators, p.Admins, p.Hosts)
 	}
 	first := d.DataCentres()[0]
-	fmt.Printf("\nCreate the example service, then ask it:\n"+
+	fmt.Printf("\nCreate the example service, then send it a request:\n"+
 		"  briarspring ctl --address %s apply examples/%s.objects.ini\n"+
 		"  curl -i -X POST -d receipt http://%s%s\n", first.Operators[0], c.Firm, first.Gateways[0], organisation.Path)
 	fmt.Printf("\nSubmit the example workflow, and see where it runs:\n"+
--- a/cmd/briarspring/failure_test.go
+++ b/cmd/briarspring/failure_test.go
@@ -88,7 +88,8 @@
 }
 
 // checkRuns compares the executors' run counts with the outcomes that callers
-// saw: a served request ran once, and no request ran twice or though refused.
+// saw: a served request ran once, and no request ran twice or ran although it
+// was refused.
 func checkRuns(t *testing.T, s *system, r *generator.Result) {
 	t.Helper()
 	runs := map[string]uint32{}
--- a/demonstrator/example.go
+++ b/demonstrator/example.go
@@ -131,8 +131,8 @@
 
 // Example runs an organisation's workloads, meanwhile takes a data centre out
 // of service and returns it, and prints a summary. It returns a
-// *FailedCheckError when a request, task or workflow was lost, run twice or
-// wrong.
+// *FailedCheckError when a request, task or workflow was lost or ran twice, or
+// when an answer was wrong.
 func Example(ctx context.Context, d *Demonstrator, organisation Organisation, out io.Writer) error {
 	e := &example{system: d, organisation: organisation, out: out}
 	e.client = briarspringv1connect.NewOperatorsClient(http.DefaultClient, "http://"+d.DataCentres()[0].Operators[0])
--- a/demonstrator/workflows.go
+++ b/demonstrator/workflows.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	storeLatency = 5 * time.Millisecond
-	orderLatency = time.Millisecond
-	poolLease    = 6 * time.Second // Longest lease that the stand-in's workers grant.
-	hostMilliCPU = 500
-	hostStop     = 3 * time.Second
-	keepFinal    = 2 * time.Minute
+	storeLatency   = 5 * time.Millisecond
+	orderLatency   = time.Millisecond
+	poolLease      = 6 * time.Second // Longest lease that the stand-in's workers grant.
+	hostMilliCPU   = 500
+	hostStop       = 3 * time.Second
+	finalRetention = 2 * time.Minute
 	// interferenceRise is the rise of the tail latency for each core of
 	// imageInterfering, as a fraction of the target.
 	interferenceRise = 0.45
@@ -86,7 +86,7 @@
 	startedAt := time.Now()
 	l, hostAdmitter := assembler.NewHostCore(assembler.HostConfig{
 		Host: name, DataCentre: p.Name, DataCentres: c.Organisation.DataCentres, MilliCPU: hostMilliCPU, MaxLease: poolLease,
-		StopTime: hostStop, FinalRetention: keepFinal, OperatorsAddr: address,
+		StopTime: hostStop, FinalRetention: finalRetention, OperatorsAddr: address,
 		Store: s.store.Client(name), Workers: s.pool.Client(name), Decoder: imitator.Decoder{},
 		Now: func() time.Duration { return time.Since(startedAt) }, Logger: s.logger.Named(name),
 	})
--- a/lister/lister_test.go
+++ b/lister/lister_test.go
@@ -45,7 +45,7 @@
 		l.Apply([]briarspring.KeyedRecord{record("a", ""), record("b", "malformed"), record("e", "tartu")})
 		assertWorkers(t, l, "e")
 	})
-	t.Run("takes a mended entry again", func(t *testing.T) {
+	t.Run("accepts an entry that is valid again", func(t *testing.T) {
 		l.Apply([]briarspring.KeyedRecord{record("b", "tartu")})
 		assertWorkers(t, l, "b", "e")
 	})
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -50,7 +50,8 @@
 // Done returns a channel that is closed when Run has ended.
 func (r *Recorder) Done() <-chan struct{} { return r.done }
 
-// Run writes queued lines until the context ends, and then the remaining ones.
+// Run writes queued lines until the context ends, and then one last batch of the
+// remaining ones.
 func (r *Recorder) Run(ctx context.Context) {
 	defer close(r.done)
 	report := time.NewTicker(reportInterval)
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -110,9 +110,9 @@
 func TestDelta(t *testing.T) {
 	a := &pb.FeedExecutor{Id: "a", Address: "1"}
 	b := &pb.FeedExecutor{Id: "b", Address: "2"}
-	left := &pb.FeedExecutor{Id: "a", Address: "1", Leaving: true}
+	leaving := &pb.FeedExecutor{Id: "a", Address: "1", Leaving: true}
 	one := &pb.Feed{ConfigOffset: 1, Executors: []*pb.FeedExecutor{a}}
-	two := &pb.Feed{ConfigOffset: 2, Executors: []*pb.FeedExecutor{left, b}}
+	two := &pb.Feed{ConfigOffset: 2, Executors: []*pb.FeedExecutor{leaving, b}}
 	assert.True(t, relayer.Delta(nil, one).GetSnapshot())
 	assert.Nil(t, relayer.Delta(nil, nil))
 	assert.Nil(t, relayer.Delta(one, one))
